--- a/src/guavacleat/ingress/service.py
+++ b/src/guavacleat/ingress/service.py
@@ -96,7 +96,7 @@
         bodies = int(settings.limits.memory_bytes * BODIES_SHARE)
         self.dispatch = Dispatch(self.holder, parts, self.metrics, bodies, self.peers)
         self.evacuator = Evacuator(parts, self.dispatch.sessions)
-        self.inquiry = EndpointInquiry(
+        self.endpoint_poll = EndpointInquiry(
             reactor,
             self.pool,
             wire,
@@ -143,7 +143,7 @@
     def start(self) -> None:
         """Learn routes and endpoints, and listen."""
         self.source.start(self)
-        self.inquiry.start()
+        self.endpoint_poll.start()
         self._listen(self.settings.caller_address, self.callers)
         self._listen(self.settings.readiness_address, self.questions)
         if self.metrics_port is not None:
@@ -202,7 +202,7 @@
             yield task.deferLater(self.reactor, STOP_POLL_SECONDS)
         self.callers.close_idle()
         self.source.stop()
-        self.inquiry.stop()
+        self.endpoint_poll.stop()
         for port in self.ports:
             port.stopListening()
         log_message(message_type="process:stopped", unfinished=self.dispatch.in_flight)
--- a/src/guavacleat/ingress/sources.py
+++ b/src/guavacleat/ingress/sources.py
@@ -28,7 +28,7 @@
 # be in force after an outage.
 STORE_BACKOFF_SECONDS = 0.5
 # The same for a gateway that leaves trying to others, who tell when the store is back.
-UNREACHED_RETRY_SECONDS = 1.5
+UNREACHABLE_RETRY_SECONDS = 1.5
 # Longest pause of a gateway that shares listening with others, between hearing of endpoints and
 # asking for more: short against an engine's notice, and some other listener hears meanwhile.
 SHARED_PAUSE_SECONDS = 1.0
@@ -86,7 +86,7 @@
         directory = GatewayDirectory(
             self.reactor, self.store, self.instance, self.address, self.data_centre
         )
-        self.duty = ListeningDuty(
+        self.should_watch = ListeningDuty(
             self.reactor,
             self.instance,
             self.peers,
@@ -140,20 +140,20 @@
 
     def _configuration_watch_rests(self) -> bool:
         """Whether peers tell enough of the configuration for now."""
-        if self.duty():
+        if self.should_watch():
             return False
         return not self.configuration.must_ask() or self._others_try(self.configuration_watch)
 
     def _others_try(self, watch: WatchLoop) -> bool:
         """Whether the store did not answer lately, so that trying again is left to listeners."""
         since = self.reactor.seconds() - watch.called_at
-        return watch.failures > 0 and since < UNREACHED_RETRY_SECONDS
+        return watch.failures > 0 and since < UNREACHABLE_RETRY_SECONDS
 
     def _endpoint_watch_rests(self) -> bool:
         """Whether peers tell enough of the endpoints for now."""
         if store_silence(self.registry, self.peers) > SILENCE_SECONDS:
             self.registry.store_silent()
-        if self.duty():
+        if self.should_watch():
             return False
         if self._others_try(self.endpoint_watch):
             return True
--- a/src/guavacleat/platform/decode.py
+++ b/src/guavacleat/platform/decode.py
@@ -47,7 +47,7 @@
             for key in tenant.get("apiKeys", [])
         },
         limits=_limits(spec.get("limits") or {}),
-        keyed=spec.get("tenants") is not None,
+        requires_key=spec.get("tenants") is not None,
     )
 
 
--- a/src/guavacleat/routes/loader.py
+++ b/src/guavacleat/routes/loader.py
@@ -87,7 +87,7 @@
         services_by_name=services_by_name,
         accounts_by_key=_accounts_by_key(raw, problems),
         limits=_limits(raw.get("limits", {}), problems),
-        keyed="client_accounts" in raw,
+        requires_key="client_accounts" in raw,
     )
     return RoutesFile(table, endpoints)
 
--- a/src/guavacleat/routes/model.py
+++ b/src/guavacleat/routes/model.py
@@ -178,7 +178,7 @@
         "services_by_name",
         "accounts_by_key",
         "limits",
-        "keyed",
+        "requires_key",
     )
 
     def __init__(
@@ -188,7 +188,7 @@
         services_by_name: dict[str, ServiceTraits],
         accounts_by_key: dict[str, Account],
         limits: CallerLimits,
-        keyed: bool,
+        requires_key: bool,
     ):
         self.version = version
         by_host = sorted(routes, key=lambda route: (route.host, -len(route.path_prefix)))
@@ -199,7 +199,7 @@
         self.services_by_name = services_by_name
         self.accounts_by_key = accounts_by_key
         self.limits = limits
-        self.keyed = keyed
+        self.requires_key = requires_key
 
     def match(self, host: str, path: str) -> Route | None:
         """The route of ``host`` with the longest prefix that begins ``path``."""
--- a/tests/ingress/slow_link.py
+++ b/tests/ingress/slow_link.py
@@ -31,7 +31,7 @@
         self.bytes_per_second = bytes_per_second
         self.carried = 0
         # Bytes of each answer after which the store falls silent; None: it sends them whole.
-        self.silent_after = None
+        self.stall_after_bytes = None
         self._queue = collections.deque()
         self._carrying = False
 
@@ -98,7 +98,7 @@
     def _answer(self, reply):
         head = b"HTTP/1.1 %d OK\r\ncontent-length: %d\r\n\r\n" % (reply.code, len(reply.body))
         data = head + reply.body
-        self.reactor.carry(self, data[: self.reactor.silent_after])
+        self.reactor.carry(self, data[: self.reactor.stall_after_bytes])
 
     def deliver(self, piece):
         if not self.lost:
--- a/tests/ingress/test_dispatch.py
+++ b/tests/ingress/test_dispatch.py
@@ -39,7 +39,7 @@
     accounts = {"k1": Account("a1")}
     stream = route("stream", True, RequestKind.STREAM, 39.0)
     routes = [route("open", True), route("keyed", False), stream]
-    return RouteTable(version, routes, {}, accounts, CallerLimits(), keyed=True)
+    return RouteTable(version, routes, {}, accounts, CallerLimits(), requires_key=True)
 
 
 @pytest.fixture
--- a/tests/ingress/test_large_configuration.py
+++ b/tests/ingress/test_large_configuration.py
@@ -124,10 +124,10 @@
     store.write("config", "main", configuration(1, routes=48))
     gateway = Gateway(store)
     gateway.reactor.run(SETTLED_SECONDS)
-    gateway.reactor.silent_after = 100_000
+    gateway.reactor.stall_after_bytes = 100_000
     store.write("config", "main", configuration(2, routes=1000))
     gateway.reactor.run(WATCH_SECONDS)
-    gateway.reactor.silent_after = None
+    gateway.reactor.stall_after_bytes = None
     assert gateway.seconds_until(2, STORE_CALL_SECONDS + APPLY_SECONDS) is not None
 
 
@@ -142,7 +142,7 @@
     store.write("config", "main", configuration(1, routes=48))
     gateway = Gateway(store)
     gateway.reactor.run(SETTLED_SECONDS)
-    gateway.reactor.silent_after = 100_000
+    gateway.reactor.stall_after_bytes = 100_000
     store.write("config", "main", configuration(2))
     gateway.reactor.run(30.0)
     failed = [line for line in lines if line["message_type"] == "watch:failed"]
--- a/tests/peers/test_hearing.py
+++ b/tests/peers/test_hearing.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from guavacleat.ingress.sources import STORE_BACKOFF_SECONDS, UNREACHED_RETRY_SECONDS
+from guavacleat.ingress.sources import STORE_BACKOFF_SECONDS, UNREACHABLE_RETRY_SECONDS
 from guavacleat.peers.hearing import (
     AUDIT_SECONDS,
     GAP_SECONDS,
@@ -37,7 +37,7 @@
 
 
 def listeners(fleet):
-    return [gateway for gateway in fleet.gateways.values() if gateway.source.duty()]
+    return [gateway for gateway in fleet.gateways.values() if gateway.source.should_watch()]
 
 
 def test_all_gateways_choose_the_same_few_listeners(fleet):
@@ -127,7 +127,7 @@
     for gateway in deaf:
         gateway.link.cut("refused")
     fleet.pass_time(SETTLE_SECONDS)
-    assert hearing.source.duty()
+    assert hearing.source.should_watch()
     fleet.set_endpoint("e3", "draining")
     fleet.pass_time(NOTICE_SECONDS / 2)
     assert all("e3" in gateway.left for gateway in fleet.gateways.values())
@@ -267,7 +267,7 @@
         gateway.link.cut("refused")
     fleet.pass_time(SETTLE_SECONDS)
     others = len(fleet.gateways) - LISTENERS
-    most = LISTENERS / STORE_BACKOFF_SECONDS + others / UNREACHED_RETRY_SECONDS
+    most = LISTENERS / STORE_BACKOFF_SECONDS + others / UNREACHABLE_RETRY_SECONDS
     assert fleet.calls_in(SETTLE_SECONDS) <= 2 * SETTLE_SECONDS * most
 
 
--- a/tests/platform/test_decode.py
+++ b/tests/platform/test_decode.py
@@ -103,8 +103,8 @@
 
 def test_without_accounts_no_key_is_asked():
     spec = {key: value for key, value in CONFIGURATION.items() if key != "tenants"}
-    assert not decode_configuration(spec).keyed
-    assert decode_configuration(CONFIGURATION).keyed
+    assert not decode_configuration(spec).requires_key
+    assert decode_configuration(CONFIGURATION).requires_key
 
 
 def test_an_endpoint_in_any_state_but_ready_takes_no_new_work():
--- a/tests/quarantine/crashing_fleet.py
+++ b/tests/quarantine/crashing_fleet.py
@@ -186,7 +186,7 @@
         gateway = self.gateways.pop(instance)
         self.links[instance].cut("silent")
         gateway.source.stop()
-        gateway.inquiry.stop()
+        gateway.endpoint_poll.stop()
         for port in gateway.ports:
             port.stopListening()
         for connection in list(gateway.callers.connections):
--- a/tests/routes/test_routes.py
+++ b/tests/routes/test_routes.py
@@ -17,7 +17,7 @@
 
 
 def table(routes=(), version=1):
-    return RouteTable(version, list(routes), {}, {}, CallerLimits(), keyed=False)
+    return RouteTable(version, list(routes), {}, {}, CallerLimits(), requires_key=False)
 
 
 def test_the_longest_prefix_of_the_host_wins():
--- a/tests/store/test_stalled_answer.py
+++ b/tests/store/test_stalled_answer.py
@@ -59,7 +59,7 @@
     Cause: treq's time-out ends with the answer's head, and nothing bounded the wait for its body.
     """
     link.store.write("config", "main", LARGE)
-    link.silent_after = 100_000
+    link.stall_after_bytes = 100_000
     found = client.get("config", "main")
     link.run(2 * CALL_TIMEOUT)
     with pytest.raises(StoreUnavailableError, match="99[0-9]{3} bytes"):
