--- a/src/guavacleat/ingress/dispatch.py
+++ b/src/guavacleat/ingress/dispatch.py
@@ -176,7 +176,7 @@
 
     def _account(self, table: RouteTable, route: Route, key: str) -> Account | None:
         """Whose key it is, None where none is needed."""
-        if route.public or not table.keyed:
+        if route.public or not table.requires_key:
             return None
         account = table.accounts_by_key.get(key)
         if account is None:
