--- a/benchmarks/control_cost.py
+++ b/benchmarks/control_cost.py
@@ -110,7 +110,7 @@
         for name in view.records_by_name:
             router.observe(name, ROOMY)
         start = time.process_time()
-        dispatcher.pump("service-3")
+        dispatcher.dispatch_waiting("service-3")
         dispatched = 2 * accounts - len(dispatcher.queues_by_service["service-3"])
         yield accounts, queued, (time.process_time() - start) / max(1, dispatched)
 
--- a/src/guavacleat/admission/gate.py
+++ b/src/guavacleat/admission/account_limit.py
@@ -7,10 +7,10 @@
 from guavacleat.config.model import Limits
 from guavacleat.errors import NotRunError
 
-__all__ = ["Admission"]
+__all__ = ["AccountQueueLimit"]
 
 
-class Admission:
+class AccountQueueLimit:
     """Counts requests held by account and refuses those over the account's bound."""
 
     def __init__(self):
--- a/src/guavacleat/admission/dispatcher.py
+++ b/src/guavacleat/admission/dispatcher.py
@@ -12,7 +12,7 @@
 from twisted.internet import defer
 from twisted.internet.interfaces import IReactorTime
 
-from guavacleat.admission.gate import Admission
+from guavacleat.admission.account_limit import AccountQueueLimit
 from guavacleat.admission.queues import PROMPT_TOKEN_COST, SHORT_OUTPUT, get_queue_by_name
 from guavacleat.errors import NotRunError
 
@@ -49,7 +49,7 @@
         self.membership = membership
         self.router = router
         self.queue = queue
-        self.waiting = Admission()
+        self.waiting = AccountQueueLimit()
         self.queues_by_service: dict[str, object] = {}
         # When each service's latest requests were dispatched, and what they were expected to cost.
         self.marks_by_service: dict[str, deque] = {}
@@ -81,7 +81,7 @@
         queue.push(entry, front=front)
         wait = limits.max_wait if deadline is None else max(0.0, deadline - now)
         entry.timer = self.clock.callLater(wait, self._expire, entry)
-        self.pump(request.service)
+        self.dispatch_waiting(request.service)
         return entry.given
 
     def release(self, name: str, request, tokens: int = 0, finished: bool = False) -> None:
@@ -92,9 +92,9 @@
         queue.charge(request, self._cost(request, tokens) - expected)
         if finished:
             self._learn(request, tokens)
-        self.pump(request.service)
+        self.dispatch_waiting(request.service)
 
-    def pump(self, service: str) -> None:
+    def dispatch_waiting(self, service: str) -> None:
         """Dispatch waiting requests while there is room for the next in turn.
 
         A dispatch may end at once and look at the queue again, while this look is still going
@@ -147,12 +147,12 @@
         self._dispatch(entry, queue, endpoint)
         return True
 
-    def pump_all(self) -> None:
+    def dispatch_all(self) -> None:
         """Look again at every queue (after membership or occupancy changed)."""
         # A dispatch may ask for a service that has had no queue yet.
         for service, queue in list(self.queues_by_service.items()):
             if len(queue):
-                self.pump(service)
+                self.dispatch_waiting(service)
 
     def depth(self) -> dict[str, int]:
         """Requests waiting, by service."""
@@ -205,13 +205,13 @@
         return self.router.lengths.remaining(request.kind(), 0, request.max_tokens)
 
     def _learn(self, request, tokens: int) -> None:
-        self.router.lengths.finished(request.kind(), tokens)
+        self.router.lengths.record_finished(request.kind(), tokens)
 
     def _expire(self, entry: _Waiting) -> None:
         self._queue(entry.request.service).remove(entry)
         problem = "no endpoint had room in time"
         self._refuse(entry, self.refusal(entry.request, entry.limits, problem))
-        self.pump(entry.request.service)
+        self.dispatch_waiting(entry.request.service)
 
     def _refuse(self, entry: _Waiting, error: NotRunError) -> None:
         self._settle(entry)
--- a/src/guavacleat/admission/generations.py
+++ b/src/guavacleat/admission/generations.py
@@ -131,7 +131,7 @@
             waiting=len(queue),
             expected=round(expected, 3),
         )
-        self.look_soon()
+        self.schedule_dispatch()
         return entry.given
 
     def waiting(self, service: str) -> int:
@@ -139,7 +139,7 @@
         queue = self.queues_by_service.get(service)
         return 0 if queue is None else len(queue)
 
-    def look_soon(self) -> None:
+    def schedule_dispatch(self) -> None:
         """Something changed on the engines: look whether a waiting request has room now."""
         if any(map(len, self.queues_by_service.values())):
             self._look_within(self.random.uniform(0.0, STAGGER_SECONDS))
@@ -179,7 +179,7 @@
         return False
 
     def _room_for(self, entry: _Waiting):
-        return self.placement.with_room(entry.forwarded, entry.tried)
+        return self.placement.choose_for_generation(entry.forwarded, entry.tried)
 
     def _note_dispatch(self, queue: _ServiceQueue, entry: _Waiting) -> None:
         request = entry.forwarded
--- a/src/guavacleat/forwarding/apart.py
+++ b/src/guavacleat/forwarding/apart.py
@@ -22,8 +22,8 @@
 def place_apart(parts, request: ForwardedRequest, tried: set[str]) -> EndpointEntry | None:
     """Where a request runs that must not share an endpoint with many; None if none has room."""
     standing = check_quarantine(parts, request)
-    entry = parts.placement.least_shared(request, tried)
-    if entry is not None and standing.convicted and not parts.placement.is_quiet(entry):
+    entry = parts.placement.least_loaded(request, tried)
+    if entry is not None and standing.convicted and not parts.placement.is_lightly_loaded(entry):
         raise _refusal(standing, RETRY_AFTER_NOT_QUIET)
     return entry
 
@@ -32,7 +32,7 @@
     """Whether a run that broke off may be resumed at ``entry``."""
     kind = parts.quarantine.standing(request).kind
     if kind is StandingKind.APART:
-        return parts.placement.is_quiet(entry)
+        return parts.placement.is_lightly_loaded(entry)
     return kind is StandingKind.FREE
 
 
--- a/src/guavacleat/forwarding/handover.py
+++ b/src/guavacleat/forwarding/handover.py
@@ -51,7 +51,7 @@
         session = self.session
         clock = session.parts.clock
         copy = session.memory.copy
-        session.parts.budget.repeat(session.request.service)
+        session.parts.budget.record_retry(session.request.service)
         timer = clock.callLater(NEXT_EVENT_SECONDS, self.note_event)
         await self._event
         if timer.active():
--- a/src/guavacleat/forwarding/memory.py
+++ b/src/guavacleat/forwarding/memory.py
@@ -2,7 +2,7 @@
 
 from guavacleat.forwarding.request import ForwardedRequest
 from guavacleat.membership.registry import EndpointEntry
-from guavacleat.placement import LoadBook, Run
+from guavacleat.placement import LoadTracker, Run
 
 __all__ = ["HeldCopy", "StreamMemory"]
 
@@ -38,7 +38,7 @@
     :param copy: where the stream goes on if its engine is gone; None if nowhere.
     """
 
-    def __init__(self, request: ForwardedRequest, load: LoadBook):
+    def __init__(self, request: ForwardedRequest, load: LoadTracker):
         self.request = request
         self.load = load
         self.events = 0
@@ -106,12 +106,12 @@
         self.events += 1
         run = self._run
         if self.events % FORECAST_EVENTS == 0:
-            run.expected = self.expected_tokens()
+            run.peak_tokens = self.expected_tokens()
             if self.copy is not None:
-                self._copy_run.expected = run.expected
-        if run.unread:
-            run.unread = 0
-            self.load.changed(run)
+                self._copy_run.peak_tokens = run.peak_tokens
+        if run.unread_tokens:
+            run.unread_tokens = 0
+            self.load.notify_changed(run)
 
     def keep_copy(self, copy: HeldCopy | None) -> None:
         """Count the copy where it is held, and the former one no more."""
--- a/src/guavacleat/forwarding/opening.py
+++ b/src/guavacleat/forwarding/opening.py
@@ -37,7 +37,7 @@
             connection = await self.parts.pool.connect(entry.address)
         except Exception as exc:  # noqa: BLE001 - no connection: refused, timed out, unreachable
             self.parts.load.end(entry.id, run)
-            self.parts.load.failed(entry.id)
+            self.parts.load.record_failure(entry.id)
             self.log("stream:unreachable", endpoint=entry.id, error=repr(exc))
             return None
         if self.session.finished or self.session.time_left() <= 0:
@@ -72,7 +72,7 @@
         self.parts.load.end(leg.entry.id, leg.run)
         if end is LegEnd.BROKEN:
             # It may have crashed: for some seconds nothing new goes there, nor a backup.
-            self.parts.load.failed(leg.entry.id)
+            self.parts.load.record_failure(leg.entry.id)
         if leg.broke_off:
             self.parts.quarantine.broken(self.request, leg.entry.id, leg.began)
         elif end is LegEnd.COMPLETE:
@@ -88,7 +88,7 @@
         if not self.parts.quarantine.may_share(self.request):
             return None
         expected = self.memory.expected_tokens()
-        keeper = self.parts.placement.for_backup(entry, expected, engine)
+        keeper = self.parts.placement.choose_backup_target(entry, expected, engine)
         if keeper is None:
             return None
         return HeldCopy(keeper, keeper, self.request.facts.id, backup=True)
@@ -102,6 +102,6 @@
             resumed=resume is not None,
             backup=backup.entry.id if backup else None,
             runs=load.runs,
-            expected=load.expected,
-            unread=load.unread,
+            expected=load.peak_tokens,
+            unread=load.unread_tokens,
         )
--- a/src/guavacleat/forwarding/parts.py
+++ b/src/guavacleat/forwarding/parts.py
@@ -10,7 +10,7 @@
     :param pool: :class:`~guavacleat.http1.pool.ConnectionPool`.
     :param wire: :class:`~guavacleat.forwarding.wire.Wire`.
     :param registry: :class:`~guavacleat.membership.registry.EndpointRegistry`.
-    :param load: :class:`~guavacleat.placement.LoadBook`.
+    :param load: :class:`~guavacleat.placement.LoadTracker`.
     :param placement: :class:`~guavacleat.placement.Placement`.
     :param budget: :class:`~guavacleat.retries.RetryBudget`.
     :param queue: :class:`~guavacleat.admission.generations.GenerationQueue`.
--- a/src/guavacleat/forwarding/plain.py
+++ b/src/guavacleat/forwarding/plain.py
@@ -52,7 +52,7 @@
                 break
             tried.add(entry.id)
             if sends:
-                self.parts.budget.repeat(request.service)
+                self.parts.budget.record_retry(request.service)
             last = self._is_last(request, runs, tried)
             end, answer = await self._attempt(request, entry, last)
             if end in NEVER_RUN:
@@ -67,7 +67,7 @@
 
     def _place(self, request: ForwardedRequest, tried: set[str]) -> EndpointEntry | None:
         if self.parts.quarantine.may_share(request):
-            return self.parts.placement.for_call(request.service, tried)
+            return self.parts.placement.choose_for_call(request.service, tried)
         return place_apart(self.parts, request, tried)
 
     def _may_send_again(self, request: ForwardedRequest, runs: int) -> bool:
@@ -77,7 +77,7 @@
             runs < request.route.max_attempts
             and not request.exchange.gone
             and self.parts.clock.seconds() < request.deadline
-            and self.parts.budget.may_repeat(request.service)
+            and self.parts.budget.may_retry(request.service)
         )
 
     def _is_last(self, request: ForwardedRequest, runs: int, tried: set[str]) -> bool:
@@ -85,15 +85,15 @@
         return (
             request.route.kind is not RequestKind.IDEMPOTENT
             or runs + 1 >= request.route.max_attempts
-            or not self.parts.budget.may_repeat(request.service)
-            or self.parts.placement.for_call(request.service, tried) is None
+            or not self.parts.budget.may_retry(request.service)
+            or self.parts.placement.choose_for_call(request.service, tried) is None
         )
 
     def _repeat_failure(self, request: ForwardedRequest, answer: CheckedAnswer, runs: int) -> bool:
         """Whether an endpoint's own failure is worth another try elsewhere."""
         if answer.head.status < SERVER_ERROR:
             return False
-        others = self.parts.placement.for_call(request.service, set()) is not None
+        others = self.parts.placement.choose_for_call(request.service, set()) is not None
         return others and self._may_send_again(request, runs)
 
     async def _attempt(self, request, entry, last):
@@ -104,7 +104,7 @@
         try:
             connection = await parts.pool.connect(entry.address)
         except Exception as exc:  # noqa: BLE001 - no connection: refused, timed out, unreachable
-            parts.load.failed(entry.id)
+            parts.load.record_failure(entry.id)
             self._log_attempt(request, entry, AttemptEnd.UNREACHABLE, answer, repr(exc))
             return AttemptEnd.UNREACHABLE, answer
         time_left = request.deadline - parts.clock.seconds()
@@ -152,9 +152,9 @@
         if end is AttemptEnd.WRONG_INCARNATION:
             self.parts.registry.suspect_gone(entry.id)
         elif end is AttemptEnd.ANSWERED and answer.head.status < SERVER_ERROR:
-            self.parts.load.succeeded(entry.id, latency)
+            self.parts.load.record_success(entry.id, latency)
         elif end is not AttemptEnd.PASSED_ON:
-            self.parts.load.failed(entry.id)
+            self.parts.load.record_failure(entry.id)
 
     def _note_run(self, request, entry, end, answer, began: float) -> None:
         """Tell whether the endpoint survived the request."""
--- a/src/guavacleat/forwarding/request.py
+++ b/src/guavacleat/forwarding/request.py
@@ -93,6 +93,6 @@
 
     def expected_tokens(self, emitted: int = 0) -> int:
         """Memory that the run will hold at its end, once it has produced ``emitted`` tokens."""
-        output = self.forecast.length(emitted, self.facts.expected_output_tokens)
+        output = self.forecast.expected_length(emitted, self.facts.expected_output_tokens)
         most = max(emitted, self.facts.max_output_tokens or output)
         return self.prompt_tokens + min(output, most)
--- a/src/guavacleat/forwarding/session.py
+++ b/src/guavacleat/forwarding/session.py
@@ -121,14 +121,14 @@
         """Send to endpoints until one runs it; return how that leg ended."""
         request, tried = self.request, set()
         for sends in range(MAX_SENDS):
-            if sends and not self.parts.budget.may_repeat(request.service):
+            if sends and not self.parts.budget.may_retry(request.service):
                 break
             entry = await self._place(tried)
             if entry is None:
                 break
             tried.add(entry.id)
             if sends:
-                self.parts.budget.repeat(request.service)
+                self.parts.budget.record_retry(request.service)
             if not await self._send(entry, None):
                 continue
             end = await self._leg_end()
@@ -149,7 +149,7 @@
             if entry is not None or request.traits.engine is None:
                 return entry
         if request.traits.engine is None:
-            return self.parts.placement.for_call(request.service, tried)
+            return self.parts.placement.choose_for_call(request.service, tried)
         self.placing = self.parts.queue.acquire(request, tried)
         try:
             entry = await self.placing
@@ -240,7 +240,7 @@
         if not may_go_on_at(self.parts, self.request, copy.entry):
             self._log("stream:not-resumed", endpoint=copy.entry.id)
             return False
-        self.parts.budget.repeat(self.request.service)
+        self.parts.budget.record_retry(self.request.service)
         point = ResumePoint(copy.source.address, copy.handle, self.last_event)
         self.moves += 1
         self._log("stream:resumed", endpoint=copy.entry.id, source=copy.source.id)
--- a/src/guavacleat/gateway/service.py
+++ b/src/guavacleat/gateway/service.py
@@ -17,7 +17,7 @@
 from guavacleat.membership.records import ENDPOINT_KIND
 from guavacleat.metrics import StreamMetrics
 from guavacleat.routing import get_router_by_name
-from guavacleat.routing.poll import DigestPoll
+from guavacleat.routing.poll import DigestPoller
 from guavacleat.store import StoreClient
 from guavacleat.store.watch import WatchLoop
 from guavacleat.streams import Relay
@@ -62,7 +62,7 @@
         self.pool = SidecarPool(reactor)
         self.calls = CallRecords(self.store, reactor)
         self.relay = Relay(reactor, self.membership, self.dispatcher, self.pool, self.metrics)
-        self.digest_poll = DigestPoll(reactor, self.membership, self.dispatcher, self.pool)
+        self.digest_poll = DigestPoller(reactor, self.membership, self.dispatcher, self.pool)
         self.watches = [
             WatchLoop(reactor, self.store, CONFIG_KIND, self.config.offer),
             WatchLoop(
--- a/src/guavacleat/ingress/dispatch.py
+++ b/src/guavacleat/ingress/dispatch.py
@@ -89,7 +89,7 @@
             self.in_flight -= 1
 
     async def _forward(self, request: ForwardedRequest) -> None:
-        self.parts.budget.request(request.service)
+        self.parts.budget.record_request(request.service)
         if request.route.kind is RequestKind.STREAM:
             session = StreamSession(request, self.parts, self.sessions)
             await session.run()
@@ -102,7 +102,7 @@
         request, output = session.request, session.memory.output_tokens
         self.pace.learn(session.times, output)
         if session.completed and request.traits.engine is not None:
-            request.forecast.finished(output, request.facts.expected_output_tokens)
+            request.forecast.record_finished(output, request.facts.expected_output_tokens)
 
     def _forecast(self, route: Route, facts) -> LengthForecast | None:
         """What is known of the lengths of the route's generations; None off streams."""
--- a/src/guavacleat/ingress/service.py
+++ b/src/guavacleat/ingress/service.py
@@ -16,7 +16,7 @@
 from guavacleat.membership.registry import EndpointRegistry, EndpointState
 from guavacleat.migration import Evacuator
 from guavacleat.peers import PeerBook
-from guavacleat.placement import LoadBook, Placement
+from guavacleat.placement import LoadTracker, Placement
 from guavacleat.quarantine import CrashBook, QuarantineGuard
 from guavacleat.retries import RetryBudget
 from guavacleat.routes import CallerLimits
@@ -69,7 +69,7 @@
         self.holder = RouteHolder()
         self.pool = ConnectionPool(reactor)
         self.registry = EndpointRegistry(reactor, self._endpoint_leaving, self._endpoint_restarted)
-        self.load = LoadBook(reactor)
+        self.load = LoadTracker(reactor)
         self.peers = PeerBook(reactor)
         self.load.peers = self.peers
         self.metrics = IngressMetrics()
@@ -79,8 +79,8 @@
             self.registry, self.load, settings.data_centre, avoided=quarantine.trial_endpoints
         )
         queue = GenerationQueue(reactor, placement)
-        self.load.listeners.append(queue.look_soon)
-        self.peers.on_report = queue.look_soon
+        self.load.listeners.append(queue.schedule_dispatch)
+        self.peers.on_report = queue.schedule_dispatch
         parts = ForwardingParts(
             clock=reactor,
             pool=self.pool,
--- a/src/guavacleat/lengths.py
+++ b/src/guavacleat/lengths.py
@@ -44,7 +44,7 @@
     def __init__(self):
         self.lengths_by_kind: dict[tuple, _Lengths] = {}
 
-    def finished(self, kind: tuple, length: int) -> None:
+    def record_finished(self, kind: tuple, length: int) -> None:
         """Learn from a generation that ran to its end with ``length`` tokens."""
         self.lengths_by_kind.setdefault(kind, _Lengths()).add(length)
 
@@ -99,13 +99,13 @@
             [FIRST_HINT_SPREAD**2] * FIRST_HINT_WEIGHT, maxlen=FORECAST_KEPT
         )
 
-    def finished(self, length: int, hint: float | None) -> None:
+    def record_finished(self, length: int, hint: float | None) -> None:
         """Learn from a generation that ran to its end."""
         self.lengths.append(max(1.0, length))
         if _usable(hint):
             self.squares.append(math.log(hint / max(1.0, length)) ** 2)
 
-    def length(self, emitted: int, hint: float | None) -> int:
+    def expected_length(self, emitted: int, hint: float | None) -> int:
         """Expected tokens at its end of a generation that has produced ``emitted`` so far."""
         longer = [length for length in self.lengths if length > emitted]
         if not longer:
--- a/src/guavacleat/load/fleet.py
+++ b/src/guavacleat/load/fleet.py
@@ -16,7 +16,7 @@
 from guavacleat.metrics import StreamMetrics
 from guavacleat.periodic import Periodic
 from guavacleat.routing import get_router_by_name
-from guavacleat.routing.poll import DigestPoll
+from guavacleat.routing.poll import DigestPoller
 from guavacleat.sidecar.engine_client import EngineBatch
 from guavacleat.sidecar.handler import SidecarHandler
 from guavacleat.sidecar.occupancy import HEADROOM
@@ -198,7 +198,7 @@
         self.dispatcher = Dispatcher(clock, self.membership, self.router, policy.queue)
         self.metrics = StreamMetrics()
         self.relay = Relay(clock, self.membership, self.dispatcher, pool, self.metrics)
-        self.poll = DigestPoll(clock, self.membership, self.dispatcher, pool)
+        self.poll = DigestPoller(clock, self.membership, self.dispatcher, pool)
 
 
 class Fleet:
--- a/src/guavacleat/membership/inquiry.py
+++ b/src/guavacleat/membership/inquiry.py
@@ -41,7 +41,7 @@
     """Asks while the store is away.
 
     :param instance: this gateway's name.
-    :param load: the :class:`~guavacleat.placement.LoadBook`: only endpoints that run generations
+    :param load: the :class:`~guavacleat.placement.LoadTracker`: only endpoints that run generations
         have something to lose.
     :param peers: the :class:`~guavacleat.peers.PeerBook`.
     """
@@ -96,7 +96,7 @@
         return silence > (SILENCE_SECONDS if reports else SILENCE_ALONE_SECONDS)
 
     def _is_mine(self, entry: EndpointEntry, askers: list[str]) -> bool:
-        if not self.load.total(entry.id).expected:
+        if not self.load.total(entry.id).peak_tokens:
             return False
         return chosen(askers, entry.id) == [self.instance]
 
--- a/src/guavacleat/migration/evacuation.py
+++ b/src/guavacleat/migration/evacuation.py
@@ -156,7 +156,7 @@
         for _ in range(2):
             engine = session.request.traits.engine
             expected = session.memory.expected_tokens()
-            target = self.parts.placement.for_move(entry, expected, engine, tried)
+            target = self.parts.placement.choose_move_target(entry, expected, engine, tried)
             if target is None or not self._still_there(session, entry):
                 return False
             tried.add(target.id)
--- a/src/guavacleat/peers/exchange.py
+++ b/src/guavacleat/peers/exchange.py
@@ -14,7 +14,7 @@
 from guavacleat.peers.hearing import ConfigurationKnown, EndpointsKnown
 from guavacleat.peers.report import BadReportError, GatewayReport, decode_report, encode_report
 from guavacleat.peers.summaries import FORWARDERS, GATHER_SECONDS, SummaryExchange, add_up
-from guavacleat.placement import LoadBook
+from guavacleat.placement import LoadTracker
 from guavacleat.quarantine import CrashBook
 
 __all__ = ["PeerExchange"]
@@ -74,7 +74,7 @@
         reactor,
         directory: GatewayDirectory,
         book: PeerBook,
-        load: LoadBook,
+        load: LoadTracker,
         registry: EndpointRegistry,
         configuration: ConfigurationKnown,
         endpoints: EndpointsKnown,
@@ -179,7 +179,7 @@
         if self.transport is None or self.stopped or not self.directory.near_by_instance:
             return
         report = self._message(
-            self.load.generations(),
+            self.load.generation_loads(),
             self._news,
             self.summaries.forwards(FORWARDERS),
             stops_in=self._stops_in(),
@@ -195,7 +195,7 @@
         silences = [self.registry.store_silence(), *(report.store_silence for report in near)]
         away = [self.registry.store_unreachable(), *(report.store_away for report in near)]
         summary = self._message(
-            add_up([self.load.generations(), *(report.loads_by_endpoint for report in near)]),
+            add_up([self.load.generation_loads(), *(report.loads_by_endpoint for report in near)]),
             self._summary_news,
             True,
             stops_in=None if None in stops else min(stops),
--- a/src/guavacleat/peers/report.py
+++ b/src/guavacleat/peers/report.py
@@ -104,7 +104,7 @@
     # Revisions of a later era are large numbers: told from the era's first on, they are short.
     first = Revision.of(Revision(report.endpoints_revision or 0).era, 0)
     loads = [
-        ttypes.EndpointLoad(id, load.runs, load.expected, load.unread)
+        ttypes.EndpointLoad(id, load.runs, load.peak_tokens, load.unread_tokens)
         for id, load in report.loads_by_endpoint.items()
     ]
     message = ttypes.PeerReport(
--- a/src/guavacleat/placement/choice.py
+++ b/src/guavacleat/placement/choice.py
@@ -3,7 +3,7 @@
 import random
 
 from guavacleat.membership.registry import EndpointEntry, EndpointRegistry
-from guavacleat.placement.load import LoadBook
+from guavacleat.placement.load import LoadTracker
 from guavacleat.routes import EngineTraits
 
 __all__ = ["Placement"]
@@ -53,7 +53,7 @@
     def __init__(
         self,
         registry: EndpointRegistry,
-        load: LoadBook,
+        load: LoadTracker,
         data_centre: str,
         seed=None,
         avoided=frozenset,
@@ -64,7 +64,7 @@
         self.data_centre = data_centre
         self.random = random.Random(seed)
 
-    def for_call(self, service: str, exclude: set[str]) -> EndpointEntry | None:
+    def choose_for_call(self, service: str, exclude: set[str]) -> EndpointEntry | None:
         """The endpoint for a plain request: fewest requests per slot, least failing."""
         ready = self.ready(service, exclude)
         return min(ready, key=self._call_cost, default=None)
@@ -77,7 +77,7 @@
             return ready
         return [entry for entry in ready if entry.id not in avoided] or ready
 
-    def least_shared(self, request, exclude: set[str]) -> EndpointEntry | None:
+    def least_loaded(self, request, exclude: set[str]) -> EndpointEntry | None:
         """The endpoint on which least runs, for a request that may end it; None if none has room.
 
         :param request: a ``ForwardedRequest``.
@@ -88,11 +88,11 @@
             ready = [entry for entry in ready if self._has_room(entry, expected, engine)]
         return min(ready, key=lambda entry: self.load.total(entry.id).runs, default=None)
 
-    def is_quiet(self, entry: EndpointEntry) -> bool:
+    def is_lightly_loaded(self, entry: EndpointEntry) -> bool:
         """Whether so little runs there that its end would be noticed by few callers."""
         return self.load.total(entry.id).runs <= QUIET_SHARE * entry.slots
 
-    def with_room(self, request, exclude: set[str]) -> EndpointEntry | None:
+    def choose_for_generation(self, request, exclude: set[str]) -> EndpointEntry | None:
         """The engine for a generation that may begin now; None if it should wait for room.
 
         :param request: a ``ForwardedRequest`` for a service with engines.
@@ -110,7 +110,7 @@
         if load.runs == 0:
             return True
         return (
-            load.unread <= READ_AHEAD_TOKENS
+            load.unread_tokens <= READ_AHEAD_TOKENS
             and load.runs < engine.slots
             and self.memory_share(entry, expected, engine) <= FULL_MEMORY
         )
@@ -120,7 +120,7 @@
         reading = request.prompt_tokens / READ_TOKENS_PER_SECOND
         return request.arrived + request.route.latency_goal - reading
 
-    def for_move(
+    def choose_move_target(
         self, source: EndpointEntry, expected: int, engine: EngineTraits, exclude: set[str]
     ) -> EndpointEntry | None:
         """The engine to move a run to; one in the source's data centre if it has room.
@@ -141,7 +141,7 @@
             default=None,
         )
 
-    def for_backup(
+    def choose_backup_target(
         self, source: EndpointEntry, expected: int, engine: EngineTraits
     ) -> EndpointEntry | None:
         """The engine to keep a backup of a run on ``source``; None if all need their memory.
@@ -163,7 +163,7 @@
 
     def memory_share(self, entry: EndpointEntry, expected: int, engine: EngineTraits) -> float:
         """Share of the engine's memory in use once ``expected`` more tokens are there."""
-        return (self.load.total(entry.id).expected + expected) / max(1, engine.memory_tokens)
+        return (self.load.total(entry.id).peak_tokens + expected) / max(1, engine.memory_tokens)
 
     def _call_cost(self, entry: EndpointEntry) -> tuple[float, float]:
         load = self.load.total(entry.id)
@@ -173,9 +173,9 @@
     def _run_cost(self, entry: EndpointEntry, expected: int, engine: EngineTraits):
         """Expected seconds of waiting, and a draw among equals."""
         load = self.load.total(entry.id)
-        share = (load.expected + expected) / max(1, engine.memory_tokens)
+        share = (load.peak_tokens + expected) / max(1, engine.memory_tokens)
         seconds = (
-            load.unread / READ_TOKENS_PER_SECOND
+            load.unread_tokens / READ_TOKENS_PER_SECOND
             + FULL_SECONDS * max(0.0, share - USABLE_MEMORY) / (1 - USABLE_MEMORY)
             + SLOT_SECONDS * load.runs
             + SPREAD_SECONDS * share
--- a/src/guavacleat/placement/load.py
+++ b/src/guavacleat/placement/load.py
@@ -2,7 +2,7 @@
 
 from twisted.internet.interfaces import IReactorTime
 
-__all__ = ["EndpointHealth", "EndpointLoad", "LoadBook", "Run", "sum_loads"]
+__all__ = ["EndpointHealth", "EndpointLoad", "LoadTracker", "Run", "sum_loads"]
 
 # Weight of the newest observation in the moving averages of failures and latency.
 SMOOTHING = 0.2
@@ -15,23 +15,23 @@
     :param unread: its prompt while it has produced nothing; 0 from its first event on.
     """
 
-    __slots__ = ("id", "expected", "unread")
+    __slots__ = ("id", "peak_tokens", "unread_tokens")
 
-    def __init__(self, id: str, expected: int = 0, unread: int = 0):
+    def __init__(self, id: str, peak_tokens: int = 0, unread_tokens: int = 0):
         self.id = id
-        self.expected = expected
-        self.unread = unread
+        self.peak_tokens = peak_tokens
+        self.unread_tokens = unread_tokens
 
 
 class EndpointLoad:
     """Runs on one endpoint added up; the fields are sums of :class:`Run`'s."""
 
-    __slots__ = ("runs", "expected", "unread")
+    __slots__ = ("runs", "peak_tokens", "unread_tokens")
 
-    def __init__(self, runs: int = 0, expected: int = 0, unread: int = 0):
+    def __init__(self, runs: int = 0, peak_tokens: int = 0, unread_tokens: int = 0):
         self.runs = runs
-        self.expected = expected
-        self.unread = unread
+        self.peak_tokens = peak_tokens
+        self.unread_tokens = unread_tokens
 
     def add(self, other: "EndpointLoad") -> "EndpointLoad":
         """Add ``other`` to this one and return it."""
@@ -54,7 +54,7 @@
         self.failed_at = float("-inf")
 
 
-class LoadBook:
+class LoadTracker:
     """Runs by endpoint id and request id.
 
     ``listeners`` are called when a generation begins, produces its first event or ends.
@@ -70,7 +70,7 @@
 
     def begin(self, endpoint_id: str, run: Run) -> None:
         self.runs_by_endpoint.setdefault(endpoint_id, {})[run.id] = run
-        self.changed(run)
+        self.notify_changed(run)
 
     def end(self, endpoint_id: str, run: Run) -> None:
         """Take the run off; nothing happens if another of its id took its place."""
@@ -80,34 +80,36 @@
         del runs[run.id]
         if not runs:
             del self.runs_by_endpoint[endpoint_id]
-        self.changed(run)
+        self.notify_changed(run)
 
-    def changed(self, run: Run) -> None:
+    def notify_changed(self, run: Run) -> None:
         """What listeners know of this run is out of date."""
-        if run.expected:
+        if run.peak_tokens:
             for listener in self.listeners:
                 listener()
 
-    def own(self, endpoint_id: str) -> EndpointLoad:
+    def local(self, endpoint_id: str) -> EndpointLoad:
         """This gateway's own runs on the endpoint."""
         runs = self.runs_by_endpoint.get(endpoint_id, {}).values()
         return EndpointLoad(
-            len(runs), sum(run.expected for run in runs), sum(run.unread for run in runs)
+            len(runs),
+            sum(run.peak_tokens for run in runs),
+            sum(run.unread_tokens for run in runs),
         )
 
     def total(self, endpoint_id: str) -> EndpointLoad:
         """All known runs on the endpoint."""
-        load = self.own(endpoint_id)
+        load = self.local(endpoint_id)
         return load if self.peers is None else load.add(self.peers.total(endpoint_id))
 
-    def generations(self) -> dict[str, EndpointLoad]:
+    def generation_loads(self) -> dict[str, EndpointLoad]:
         """This gateway's load by endpoint id, for endpoints that run its generations."""
         with_runs = (
             id
             for id, runs in self.runs_by_endpoint.items()
-            if any(run.expected for run in runs.values())
+            if any(run.peak_tokens for run in runs.values())
         )
-        return {id: self.own(id) for id in with_runs}
+        return {id: self.local(id) for id in with_runs}
 
     def forget(self, endpoint_id: str) -> None:
         """Drop what is remembered of an endpoint that is gone."""
@@ -116,12 +118,12 @@
     def health(self, endpoint_id: str) -> EndpointHealth:
         return self.health_by_endpoint.setdefault(endpoint_id, EndpointHealth())
 
-    def succeeded(self, endpoint_id: str, latency: float) -> None:
+    def record_success(self, endpoint_id: str, latency: float) -> None:
         health = self.health(endpoint_id)
         health.failures -= SMOOTHING * health.failures
         health.latency += SMOOTHING * (latency - health.latency)
 
-    def failed(self, endpoint_id: str) -> None:
+    def record_failure(self, endpoint_id: str) -> None:
         health = self.health(endpoint_id)
         health.failures += SMOOTHING * (1 - health.failures)
         health.failed_at = self.clock.seconds()
--- a/src/guavacleat/retries/budget.py
+++ b/src/guavacleat/retries/budget.py
@@ -43,15 +43,15 @@
         self.requests_by_service: dict[str, _Window] = {}
         self.repeats_by_service: dict[str, _Window] = {}
 
-    def request(self, service: str) -> None:
+    def record_request(self, service: str) -> None:
         """A caller's request for the service arrived."""
         self._window(self.requests_by_service, service).add(self.clock.seconds())
 
-    def repeat(self, service: str) -> None:
+    def record_retry(self, service: str) -> None:
         """A request is sent once more, whatever the budget says."""
         self._window(self.repeats_by_service, service).add(self.clock.seconds())
 
-    def may_repeat(self, service: str) -> bool:
+    def may_retry(self, service: str) -> bool:
         """Whether one more repeat fits the budget."""
         now = self.clock.seconds()
         requests = self._window(self.requests_by_service, service).count(now)
--- a/src/guavacleat/routing/poll.py
+++ b/src/guavacleat/routing/poll.py
@@ -8,7 +8,7 @@
 
 from guavacleat.periodic import Periodic
 
-__all__ = ["DigestPoll", "POLL_SECONDS", "POLLS_AT_ONCE"]
+__all__ = ["DigestPoller", "POLL_SECONDS", "POLLS_AT_ONCE"]
 
 POLL_SECONDS = 0.5
 # Endpoints asked in one round; with more of them each is asked less often, so that a gateway's
@@ -17,7 +17,7 @@
 DIGEST_TIMEOUT = 2.0
 
 
-class DigestPoll:
+class DigestPoller:
     """Asks a few endpoints in turn every ``POLL_SECONDS``, then lets waiting requests try again.
 
     :param membership: a ``MembershipView``; its live endpoints are asked.
@@ -43,7 +43,7 @@
         for record in list(turn):
             self._ask(record)
         self.next_index = (self.next_index + count) % max(1, len(records))
-        self.dispatcher.pump_all()
+        self.dispatcher.dispatch_all()
 
     @defer.inlineCallbacks
     def _ask(self, record):
--- a/src/guavacleat/sidecar/occupancy.py
+++ b/src/guavacleat/sidecar/occupancy.py
@@ -90,7 +90,7 @@
             return
         self._peak = None
         if finished:
-            self.lengths.finished(stream.kind, stream.emitted)
+            self.lengths.record_finished(stream.kind, stream.emitted)
 
     def report(self) -> Occupancy:
         if self._peak is None:
--- a/tests/admission/test_dispatcher.py
+++ b/tests/admission/test_dispatcher.py
@@ -90,7 +90,7 @@
     dispatcher.acquire(make_request(), LIMITS)
     waiting = dispatcher.acquire(make_request(), LIMITS)
     dispatcher.membership.observe(endpoint_record("e1", draining=True))
-    dispatcher.pump_all()
+    dispatcher.dispatch_all()
     with pytest.raises(NotRunError):
         result_of(waiting)
 
@@ -185,9 +185,9 @@
     tags = [make_request(account=name, prompt="w " * 9, max_tokens=5) for name in ("b", "c")]
     waiting = [dispatcher.acquire(tag, LIMITS_OPEN) for tag in tags]
     for given in waiting:
-        given.addCallback(lambda _: dispatcher.pump("svc"))
+        given.addCallback(lambda _: dispatcher.dispatch_waiting("svc"))
     dispatcher.router.observe("e1", Occupancy(2, 8, 0, 9_500, 10_000))
-    dispatcher.pump("svc")
+    dispatcher.dispatch_waiting("svc")
     assert all(given.called for given in waiting)
     assert dispatcher.router.in_flight_by_name["e1"] == 2
 
@@ -205,5 +205,5 @@
     other.service = "other"
     given.addCallback(lambda _: dispatcher.acquire(other, LIMITS).addErrback(lambda _: None))
     dispatcher.router.end("e1", first)
-    dispatcher.pump_all()
+    dispatcher.dispatch_all()
     assert given.called and set(dispatcher.depth()) == {"svc", "other"}
--- a/tests/admission/test_generations.py
+++ b/tests/admission/test_generations.py
@@ -96,8 +96,8 @@
     first = fill(world, tokens=3000, unread=READ_AHEAD_TOKENS + 1)
     came = ask(world)
     assert came.result == "waits"
-    first.unread = 0
-    world.load.changed(first)
+    first.unread_tokens = 0
+    world.load.notify_changed(first)
     look(world)
     assert came.result == "e1"
 
--- a/tests/forwarding/harness.py
+++ b/tests/forwarding/harness.py
@@ -13,7 +13,7 @@
 from guavacleat.http1.server import CallerExchange
 from guavacleat.membership.liveness import EndpointProbe
 from guavacleat.membership.registry import EndpointEntry, EndpointRegistry, EndpointState
-from guavacleat.placement import LoadBook, Placement
+from guavacleat.placement import LoadTracker, Placement
 from guavacleat.quarantine import CrashBook, QuarantineGuard
 from guavacleat.retries import RetryBudget
 from guavacleat.routes import Backend, EngineTraits, RequestKind, Route, ServiceTraits
@@ -165,7 +165,7 @@
         self.clock = clock
         self.engine = engine
         self.registry = EndpointRegistry(clock)
-        self.load = LoadBook(clock)
+        self.load = LoadTracker(clock)
         self.pool = TestPool()
         self.crashes = CrashBook(clock)
         quarantine = QuarantineGuard(clock, self.crashes, EndpointProbe(self.pool, self.registry))
@@ -175,7 +175,7 @@
         bounds = bounds or Bounds(retry_extra=100)
         budget = RetryBudget(clock, bounds, lambda: 1)
         self.queue = GenerationQueue(clock, placement, seed=1)
-        self.load.listeners.append(self.queue.look_soon)
+        self.load.listeners.append(self.queue.schedule_dispatch)
         self.parts = ForwardingParts(
             clock,
             self.pool,
--- a/tests/forwarding/test_quarantine.py
+++ b/tests/forwarding/test_quarantine.py
@@ -50,7 +50,7 @@
 
 def busy(world, name, runs):
     for number in range(runs):
-        world.load.begin(name, Run(f"{name}-{number}", expected=100))
+        world.load.begin(name, Run(f"{name}-{number}", peak_tokens=100))
 
 
 def test_an_idempotent_request_is_not_repeated_after_the_third_end(clock):
@@ -168,7 +168,7 @@
     """Guards against copies of one request that wait for room while the first ones crash."""
     world = World(clock)
     for name in ("e1", "e2", "e3"):
-        world.load.begin(name, Run("full", expected=30000, unread=5000))
+        world.load.begin(name, Run("full", peak_tokens=30000, unread_tokens=5000))
     session, _, refusals = stream(world)
     assert world.queue.waiting("svc") == 1
     blame(world, session.request, 3)
--- a/tests/forwarding/test_session.py
+++ b/tests/forwarding/test_session.py
@@ -186,7 +186,7 @@
 def test_memory_is_counted_where_the_run_and_its_copy_are(world):
     session, _, side = running(world)
     session.memory.keep_copy(HeldCopy(entry("e3"), entry("e3"), "h1"))
-    assert world.load.total("e3").expected == session.memory.expected_tokens()
+    assert world.load.total("e3").peak_tokens == session.memory.expected_tokens()
     side.end()
     assert world.load.runs_by_endpoint == {}
 
@@ -202,7 +202,7 @@
     side.begin()
     side.body_bytes(b"".join(event(id) for id in range(1, 101)))
     assert session.memory.tokens == 1400
-    assert world.load.total(side.address[0]).expected > 1400
+    assert world.load.total(side.address[0]).peak_tokens > 1400
 
 
 def handing_over(world, events=3):
--- a/tests/gateway/test_admission.py
+++ b/tests/gateway/test_admission.py
@@ -6,7 +6,7 @@
 import pytest
 
 import guavacleat
-from guavacleat.admission.gate import Admission
+from guavacleat.admission.account_limit import AccountQueueLimit
 from guavacleat.config import load_settings
 from guavacleat.errors import NotRunError
 from guavacleat.gateway.requests import RequestError, parse_completion
@@ -15,7 +15,7 @@
 
 
 def test_over_bound_is_refused_with_retry_after_and_others_still_enter():
-    admission = Admission()
+    admission = AccountQueueLimit()
     bound = NILE.limits.queue_per_account
     for _ in range(bound):
         admission.enter(NILE.limits, "carrier-04")
--- a/tests/membership/test_inquiry.py
+++ b/tests/membership/test_inquiry.py
@@ -20,7 +20,7 @@
 from guavacleat.membership.registry import EndpointRegistry, EndpointState
 from guavacleat.peers import PeerBook
 from guavacleat.peers.report import GatewayReport
-from guavacleat.placement import EndpointLoad, LoadBook, Run
+from guavacleat.placement import EndpointLoad, LoadTracker, Run
 from tests.forwarding.harness import entry
 
 NOTICE_SECONDS = 1.5
@@ -56,7 +56,7 @@
         self.left = []
         monkeypatch.setattr("guavacleat.membership.inquiry.call", self._call)
         self.registry = EndpointRegistry(clock, lambda entry: self.left.append(entry.id))
-        self.load = LoadBook(clock)
+        self.load = LoadTracker(clock)
         self.peers = PeerBook(clock)
         self.load.peers = self.peers
         for id in ENGINES:
--- a/tests/peers/fleet.py
+++ b/tests/peers/fleet.py
@@ -13,7 +13,7 @@
 from guavacleat.ingress.sources import StoreSource
 from guavacleat.membership.registry import EndpointRegistry, EndpointState
 from guavacleat.peers import PeerBook
-from guavacleat.placement import LoadBook
+from guavacleat.placement import LoadTracker
 from guavacleat.platform.adapter import PlatformAdapter
 from guavacleat.platform.settings import parse_process_settings
 from guavacleat.quarantine import CrashBook
@@ -159,7 +159,7 @@
         self.clock = fleet.clock
         self.holder = RouteHolder()
         self.registry = EndpointRegistry(self.clock, lambda entry: self.left.append(entry.id))
-        self.load = LoadBook(self.clock)
+        self.load = LoadTracker(self.clock)
         self.peers = PeerBook(self.clock)
         self.crashes = CrashBook(self.clock)
         self.load.peers = self.peers
--- a/tests/peers/test_peers.py
+++ b/tests/peers/test_peers.py
@@ -14,7 +14,7 @@
 from guavacleat.peers.exchange import NEWS_SECONDS, REPEAT_SECONDS, RETELL_SECONDS
 from guavacleat.peers.hearing import ConfigurationKnown, EndpointsKnown
 from guavacleat.peers.report import BadReportError, GatewayReport, decode_report, encode_report
-from guavacleat.placement import EndpointLoad, LoadBook, Run
+from guavacleat.placement import EndpointLoad, LoadTracker, Run
 from guavacleat.quarantine import CrashBook
 from guavacleat.store import ConflictError, StoredObject, StoreUnavailableError, WatchBatch
 from tests.forwarding.harness import entry
@@ -77,7 +77,7 @@
 def test_a_late_report_does_not_replace_a_newer_one(book):
     book.observe(report(sequence=2, expected=200))
     book.observe(report(sequence=1, expected=100))
-    assert book.total("e1").expected == 200
+    assert book.total("e1").peak_tokens == 200
 
 
 def test_a_restarted_peer_counts_from_one_again(book):
@@ -88,13 +88,13 @@
     """
     book.observe(report(sequence=9, expected=900))
     book.observe(report(incarnation=2, sequence=1, expected=100))
-    assert book.total("e1").expected == 100
+    assert book.total("e1").peak_tokens == 100
 
 
 def test_a_silent_peer_counts_no_more(book, clock):
     book.observe(report())
     clock.advance(SILENCE_SECONDS + 0.1)
-    assert book.total("e1").expected == 0
+    assert book.total("e1").peak_tokens == 0
 
 
 class FakeStore:
@@ -136,7 +136,7 @@
 
 
 def exchange(clock, store):
-    load = LoadBook(clock)
+    load = LoadTracker(clock)
     registry = EndpointRegistry(clock)
     found = PeerExchange(
         clock,
@@ -155,11 +155,11 @@
 
 def test_a_gateway_registers_finds_the_others_and_reports_changes(clock):
     found, load = exchange(clock, FakeStore())
-    load.begin("e1", Run("r1", expected=500, unread=300))
+    load.begin("e1", Run("r1", peak_tokens=500, unread_tokens=300))
     clock.advance(0.02)
     last, address = found.transport.sent[-1]
     assert address == ("10.0.0.2", 7200)
-    assert last.loads_by_endpoint["e1"].expected == 500
+    assert last.loads_by_endpoint["e1"].peak_tokens == 500
     assert found.gateway_count() == 2
 
 
@@ -205,17 +205,17 @@
     """
     book.observe(summary("f1", gateways=3, expected=100))
     book.observe(summary("f2", gateways=2, expected=60))
-    assert book.total("e1").expected == 100
+    assert book.total("e1").peak_tokens == 100
     clock.advance(SILENCE_SECONDS - 0.1)
     book.observe(summary("f2", sequence=2, gateways=2, expected=70))
     clock.advance(0.2)
-    assert book.total("e1").expected == 70, "the first one is silent"
+    assert book.total("e1").peak_tokens == 70, "the first one is silent"
 
 
 def test_a_neighbours_report_and_its_data_centres_summary_are_kept_apart(book):
     book.observe(report(expected=100))
     book.observe(summary("f1", expected=60))
-    assert book.total("e1").expected == 160
+    assert book.total("e1").peak_tokens == 160
     assert [near.instance for near in book.alive()] == ["g2"]
 
 
@@ -309,7 +309,7 @@
     sent = []
     for number in range(80):
         found.transport.sent.clear()
-        load.begin("e1", Run(f"r{number}", expected=500))
+        load.begin("e1", Run(f"r{number}", peak_tokens=500))
         clock.advance(0.1)
         sent.append(any(report.changes for report, _ in found.transport.sent))
     news = round(NEWS_SECONDS / 0.1)
@@ -353,7 +353,7 @@
     assert sum(len(end.fingerprints) for end in told[-1].ends) == 100
     before = len(told)
     for number in range(100):
-        load.begin("e1", Run(f"r{number}", expected=500))
+        load.begin("e1", Run(f"r{number}", peak_tokens=500))
         clock.advance(0.01)
     told = [report.crashes for report, _ in found.transport.sent if report.crashes]
     assert len(told) - before <= 1.0 / REPEAT_SECONDS + 1
--- a/tests/placement/test_choice.py
+++ b/tests/placement/test_choice.py
@@ -22,14 +22,14 @@
 
 def place(world, tokens=1000):
     request, _ = world.request(kind=RequestKind.STREAM, prompt_tokens=tokens)
-    return world.parts.placement.with_room(request, set()).id
+    return world.parts.placement.choose_for_generation(request, set()).id
 
 
 def test_generations_spread_over_engines(world):
     for number in range(4):
         found = place(world)
-        world.load.begin(found, Run(f"r{number}", expected=1000, unread=900))
-    assert [world.load.own(id).runs for id in ("e1", "e2")] == [2, 2]
+        world.load.begin(found, Run(f"r{number}", peak_tokens=1000, unread_tokens=900))
+    assert [world.load.local(id).runs for id in ("e1", "e2")] == [2, 2]
 
 
 def test_a_new_prompt_goes_where_fewer_wait_to_be_read(world):
@@ -39,15 +39,15 @@
     Cause: an engine reads prompts one after the other, between the tokens of the others.
     """
     for number in range(3):
-        world.load.begin("e1", Run(f"a{number}", expected=3000, unread=2900))
-        world.load.begin("e2", Run(f"b{number}", expected=3000, unread=0))
+        world.load.begin("e1", Run(f"a{number}", peak_tokens=3000, unread_tokens=2900))
+        world.load.begin("e2", Run(f"b{number}", peak_tokens=3000, unread_tokens=0))
     assert place(world) == "e2"
 
 
 def test_an_engine_without_memory_is_the_last_choice(world):
-    world.load.begin("e1", Run("a", expected=ENGINE.memory_tokens))
+    world.load.begin("e1", Run("a", peak_tokens=ENGINE.memory_tokens))
     for number in range(6):
-        world.load.begin("e2", Run(f"b{number}", expected=2000, unread=300))
+        world.load.begin("e2", Run(f"b{number}", peak_tokens=2000, unread_tokens=300))
     assert place(world) == "e2"
 
 
@@ -64,20 +64,20 @@
 
 def test_a_failing_endpoint_is_avoided_and_then_tried_again(world, clock):
     for _ in range(3):
-        world.load.failed("e1")
-    calls = [world.parts.placement.for_call("svc", set()).id for _ in range(20)]
+        world.load.record_failure("e1")
+    calls = [world.parts.placement.choose_for_call("svc", set()).id for _ in range(20)]
     assert set(calls) == {"e2"}
     clock.advance(FAILURE_MEMORY_SECONDS)
-    calls = [world.parts.placement.for_call("svc", set()).id for _ in range(20)]
+    calls = [world.parts.placement.choose_for_call("svc", set()).id for _ in range(20)]
     assert set(calls) == {"e1", "e2"}
 
 
 def test_backups_go_only_where_memory_is_free(world):
     source = world.registry.entries_by_id["e1"]
     room = int(ENGINE.memory_tokens * BACKUP_MEMORY)
-    world.load.begin("e2", Run("b", expected=room - 1000))
-    assert world.parts.placement.for_backup(source, 1000, ENGINE).id == "e2"
-    assert world.parts.placement.for_backup(source, 1001, ENGINE) is None
+    world.load.begin("e2", Run("b", peak_tokens=room - 1000))
+    assert world.parts.placement.choose_backup_target(source, 1000, ENGINE).id == "e2"
+    assert world.parts.placement.choose_backup_target(source, 1001, ENGINE) is None
 
 
 def test_no_backups_while_engines_are_taken_away(world, clock):
@@ -90,15 +90,15 @@
     source = world.registry.entries_by_id["e1"]
     world.ready("e3")
     world.ready("e3", state=EndpointState.DRAINING)
-    assert world.parts.placement.for_backup(source, 1000, ENGINE) is None
+    assert world.parts.placement.choose_backup_target(source, 1000, ENGINE) is None
     clock.advance(BACKUP_QUIET_SECONDS)
-    assert world.parts.placement.for_backup(source, 1000, ENGINE).id == "e2"
+    assert world.parts.placement.choose_backup_target(source, 1000, ENGINE).id == "e2"
 
 
 def test_a_move_stays_in_its_data_centre_if_there_is_room(world):
     source = world.registry.entries_by_id["e1"]
     world.ready("far", data_centre="other")
-    world.load.begin("e2", Run("b", expected=ENGINE.memory_tokens // 2))
-    assert world.parts.placement.for_move(source, 1000, ENGINE, set()).id == "e2"
-    world.load.begin("e2", Run("c", expected=ENGINE.memory_tokens // 2))
-    assert world.parts.placement.for_move(source, 1000, ENGINE, set()).id == "far"
+    world.load.begin("e2", Run("b", peak_tokens=ENGINE.memory_tokens // 2))
+    assert world.parts.placement.choose_move_target(source, 1000, ENGINE, set()).id == "e2"
+    world.load.begin("e2", Run("c", peak_tokens=ENGINE.memory_tokens // 2))
+    assert world.parts.placement.choose_move_target(source, 1000, ENGINE, set()).id == "far"
--- a/tests/platform/test_decode.py
+++ b/tests/platform/test_decode.py
@@ -279,10 +279,12 @@
     """
     value = number + b"," + number if name == b"token-usage" else number
     facts = caller_facts([(name, b"ab:" + number if name == b"prompt-prefix" else value)])
-    held = LengthForecast(facts.max_output_tokens or 1).length(0, facts.expected_output_tokens)
+    held = LengthForecast(facts.max_output_tokens or 1).expected_length(
+        0, facts.expected_output_tokens
+    )
     load = EndpointLoad(1, facts.prompt_tokens + held, facts.prompt_tokens)
     decoded = decode_report(encode_report(GatewayReport("g", 1, 1, {"e": load})))
-    assert decoded.loads_by_endpoint["e"].expected == facts.prompt_tokens + held >= 0
+    assert decoded.loads_by_endpoint["e"].peak_tokens == facts.prompt_tokens + held >= 0
     assert facts.patience is None or 0 <= facts.patience < float("inf")
 
 
--- a/tests/retries/test_budget.py
+++ b/tests/retries/test_budget.py
@@ -29,10 +29,10 @@
         clock.advance(seconds)
         now = clock.seconds()
         if step == "request":
-            budgets[gateway].request("svc")
+            budgets[gateway].record_request("svc")
             requests.append(now)
-        elif budgets[gateway].may_repeat("svc"):
-            budgets[gateway].repeat("svc")
+        elif budgets[gateway].may_retry("svc"):
+            budgets[gateway].record_retry("svc")
             repeats.append(now)
             lately = [at for at in repeats if at >= now - BOUNDS.retry_window]
             asked = [at for at in requests if at >= now - BOUNDS.retry_window]
@@ -45,13 +45,13 @@
 
 
 def test_repeats_are_free_again_after_the_window(budget, clock):
-    while budget.may_repeat("svc"):
-        budget.repeat("svc")
+    while budget.may_retry("svc"):
+        budget.record_retry("svc")
     clock.advance(BOUNDS.retry_window + 0.1)
-    assert budget.may_repeat("svc")
+    assert budget.may_retry("svc")
 
 
 def test_services_do_not_use_each_others_budget(budget):
-    while budget.may_repeat("svc"):
-        budget.repeat("svc")
-    assert budget.may_repeat("other")
+    while budget.may_retry("svc"):
+        budget.record_retry("svc")
+    assert budget.may_retry("other")
--- a/tests/sidecar/test_occupancy.py
+++ b/tests/sidecar/test_occupancy.py
@@ -16,7 +16,7 @@
     occupancy = EngineOccupancy(headroom=0.0)
     occupancy.resize(capacity, slots)
     for length in lengths:
-        occupancy.lengths.finished(KIND, length)
+        occupancy.lengths.record_finished(KIND, length)
     return occupancy
 
 
@@ -88,7 +88,7 @@
     """Heavy tails: past the short outputs, what is left is what long outputs had left."""
     lengths = LengthEstimator()
     for length in [10] * 30 + [1000] * 20:
-        lengths.finished(KIND, length)
+        lengths.record_finished(KIND, length)
     assert lengths.remaining(KIND, 0, 5000) == 10
     assert lengths.remaining(KIND, 20, 5000) == 980
     assert lengths.remaining(KIND, 2000, 5000) == 2000
@@ -104,7 +104,7 @@
     occupancy = EngineOccupancy(headroom=0.2)
     occupancy.resize(1000, 8)
     for length in (100,) * 20:
-        occupancy.lengths.finished(KIND, length)
+        occupancy.lengths.record_finished(KIND, length)
     occupancy.add("1", RunningStream(KIND, 600, 100))
     assert not occupancy.fits(RunningStream(KIND, 100, 100))
     assert occupancy.fits(RunningStream(("svc", 0), 100, 100))
--- a/tests/test_lengths.py
+++ b/tests/test_lengths.py
@@ -11,23 +11,23 @@
 
 
 def test_before_any_finished_a_part_of_the_longest_is_expected():
-    assert 0.3 < LengthForecast(2000).length(0, None) / 2000 < 0.5
+    assert 0.3 < LengthForecast(2000).expected_length(0, None) / 2000 < 0.5
 
 
 def test_what_finished_replaces_the_first_guess():
     forecast = LengthForecast(2000)
     for _ in range(200):
-        forecast.finished(100, None)
-    assert forecast.length(0, None) == 100
+        forecast.record_finished(100, None)
+    assert forecast.expected_length(0, None) == 100
 
 
 def test_a_run_that_goes_on_is_expected_to_be_one_of_the_long_ones():
     forecast = LengthForecast(2000)
     for number in range(100):
-        forecast.finished(1500 if number % 10 == 0 else 100, None)
-    assert forecast.length(0, None) < 400
-    assert forecast.length(200, None) == 1500
-    assert forecast.length(1800, None) > 1800
+        forecast.record_finished(1500 if number % 10 == 0 else 100, None)
+    assert forecast.expected_length(0, None) < 400
+    assert forecast.expected_length(200, None) == 1500
+    assert forecast.expected_length(1800, None) > 1800
 
 
 def test_hints_that_are_often_far_off_are_better_than_none_and_worse_than_lengths_seen():
@@ -41,13 +41,13 @@
     hinted = [(length, length * draw.lognormvariate(0, 1.2)) for length in lengths]
     forecast = LengthForecast(2200)
     for length, hint in hinted[:200]:
-        forecast.finished(length, hint)
+        forecast.record_finished(length, hint)
     mean = sum(lengths[:200]) / 200
 
     def error(guess):
         return sum(abs(guess(hint) - length) for length, hint in hinted[200:]) / 200
 
-    with_both = error(lambda hint: forecast.length(0, hint))
+    with_both = error(lambda hint: forecast.expected_length(0, hint))
     assert with_both < 0.92 * error(lambda hint: mean)
     assert with_both < 0.85 * error(lambda hint: min(hint, 2200))
 
@@ -57,8 +57,8 @@
     forecast = LengthForecast(2000)
     for _ in range(300):
         length = draw.randint(50, 2000)
-        forecast.finished(length, length)
-    assert abs(forecast.length(0, 1000.0) - 1000) < 200
+        forecast.record_finished(length, length)
+    assert abs(forecast.expected_length(0, 1000.0) - 1000) < 200
 
 
 @given(
@@ -70,8 +70,8 @@
 def test_a_forecast_is_always_more_than_what_is_out_already(longest, finished, emitted, hint):
     forecast = LengthForecast(longest)
     for length, its_hint in finished:
-        forecast.finished(length, its_hint)
-    assert forecast.length(emitted, hint) > emitted or emitted == 0
+        forecast.record_finished(length, its_hint)
+    assert forecast.expected_length(emitted, hint) > emitted or emitted == 0
 
 
 @pytest.mark.parametrize("hint", [float("inf"), float("nan"), -5.0, 0.0, 1e300])
@@ -82,6 +82,6 @@
     Cause: the spread of hints became infinite, and with it each length's weight not a number.
     """
     forecast = LengthForecast(2000)
-    forecast.finished(100, hint)
-    assert 0 < forecast.length(0, 500.0) <= 2000
-    assert 0 < forecast.length(0, hint) <= 2000
+    forecast.record_finished(100, hint)
+    assert 0 < forecast.expected_length(0, 500.0) <= 2000
+    assert 0 < forecast.expected_length(0, hint) <= 2000
