--- a/benchmarks/quarantine_cost.py
+++ b/benchmarks/quarantine_cost.py
@@ -8,7 +8,7 @@
 
 from twisted.internet.task import Clock
 
-from guavacleat.peers.crashes import CrashNews
+from guavacleat.peers.crashes import CrashGossip
 from guavacleat.peers.report import GatewayReport, encode_report
 from guavacleat.quarantine import CrashBook, fingerprint
 from guavacleat.quarantine.book import CLEARANCES_KEPT, ENDS_KEPT, FINGERPRINTS_PER_END
@@ -43,14 +43,14 @@
     fill(book, clock)
     memory, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
-    news = CrashNews(clock, book)
-    told = news.message(1e9, forwards=True, everything=True)
+    news = CrashGossip(clock, book)
+    told = news.build_message(1e9, forwards=True, everything=True)
     empty = len(encode_report(GatewayReport("g1", 1, 1, {})))
     full = len(encode_report(GatewayReport("g1", 1, 1, {}, crashes=told)))
     print(f"book at its bounds: {memory / 1024:.0f} KB; a report: {full - empty} bytes of crashes")
     print(f"standing of an unknown request: {micros(lambda: book.standing(-2)):.1f} us")
     print(f"standing of a suspect: {micros(lambda: book.standing(-1)):.1f} us")
-    print(f"message: {micros(lambda: news.message(1e9, True, True)):.0f} us")
+    print(f"message: {micros(lambda: news.build_message(1e9, True, True)):.0f} us")
     print(f"fingerprint of a body of {len(BODY)} bytes: {micros(lambda: fingerprint(BODY)):.1f} us")
 
 
--- a/benchmarks/restore_cost.py
+++ b/benchmarks/restore_cost.py
@@ -39,7 +39,7 @@
     for step in range(round(MEASURED_SECONDS / STEP_SECONDS)):
         fleet.pass_time(STEP_SECONDS)
         for name, gateway in fleet.gateways.items():
-            if id in gateway.believes_ready():
+            if id in gateway.ready_ids():
                 seen_by_gateway.setdefault(name, (step + 1) * STEP_SECONDS)
     assert len(seen_by_gateway) == len(fleet.gateways), "a gateway never heard of it"
     return sorted(seen_by_gateway.values()), fleet.store.asked - before - calm
--- a/src/guavacleat/forwarding/plain.py
+++ b/src/guavacleat/forwarding/plain.py
@@ -150,7 +150,7 @@
 
     def _note_health(self, entry, end, answer, latency) -> None:
         if end is AttemptEnd.WRONG_INCARNATION:
-            self.parts.registry.suspect_gone(entry.id)
+            self.parts.registry.remove_stale(entry.id)
         elif end is AttemptEnd.ANSWERED and answer.head.status < SERVER_ERROR:
             self.parts.load.record_success(entry.id, latency)
         elif end is not AttemptEnd.PASSED_ON:
--- a/src/guavacleat/forwarding/session.py
+++ b/src/guavacleat/forwarding/session.py
@@ -249,7 +249,7 @@
     def _note_refused(self, entry: EndpointEntry, end: LegEnd) -> None:
         self._log("stream:refused", endpoint=entry.id, end=end.value)
         if end is LegEnd.WRONG_INCARNATION:
-            self.parts.registry.suspect_gone(entry.id)
+            self.parts.registry.remove_stale(entry.id)
 
     def _pass_failure_on(self) -> None:
         exchange = self.request.exchange
--- a/src/guavacleat/gateway/service.py
+++ b/src/guavacleat/gateway/service.py
@@ -70,7 +70,7 @@
                 self.store,
                 ENDPOINT_KIND,
                 self._endpoint_changed,
-                on_health=self.membership.store_health,
+                on_health=self.membership.record_store_health,
                 pause=lambda: ENDPOINT_WATCH_PAUSE,
             ),
         ]
--- a/src/guavacleat/ingress/dispatch.py
+++ b/src/guavacleat/ingress/dispatch.py
@@ -14,7 +14,7 @@
 from guavacleat.http1.messages import end_to_end_headers
 from guavacleat.http1.server import CallerExchange
 from guavacleat.lengths import LengthForecast
-from guavacleat.peers.book import RESTART_SECONDS
+from guavacleat.peers.table import RESTART_SECONDS
 from guavacleat.quarantine import format_fingerprint
 from guavacleat.routes import Account, RequestKind, Route, RouteTable, ServiceTraits
 
@@ -40,7 +40,7 @@
     :param holder: the :class:`~guavacleat.routes.holder.RouteHolder`.
     :param parts: the :class:`~guavacleat.forwarding.parts.ForwardingParts`.
     :param held_bytes_bound: bytes of request bodies that may be held at a time.
-    :param peers: the :class:`~guavacleat.peers.PeerBook`.
+    :param peers: the :class:`~guavacleat.peers.PeerTable`.
     """
 
     def __init__(self, holder, parts, metrics, held_bytes_bound: int, peers, seed=None):
@@ -141,7 +141,7 @@
         next one, and has used up its retry.
         """
         own = self._stops_at - now + RESTART_SECONDS
-        peer = self.peers.ready_in()
+        peer = self.peers.seconds_until_ready()
         return own if peer is None else max(RETRY_AFTER_STOPPING, min(own, peer))
 
     def _match(self, exchange: CallerExchange, arrived: float) -> ForwardedRequest:
--- a/src/guavacleat/ingress/service.py
+++ b/src/guavacleat/ingress/service.py
@@ -11,11 +11,11 @@
 from guavacleat.http1.server import CallerExchange, CallerListener
 from guavacleat.ingress.dispatch import Dispatch
 from guavacleat.ingress.metrics import IngressMetrics
-from guavacleat.membership.inquiry import EndpointInquiry
 from guavacleat.membership.liveness import EndpointProbe
 from guavacleat.membership.registry import EndpointRegistry, EndpointState
+from guavacleat.membership.status_poll import EndpointStatusPoller
 from guavacleat.migration import Evacuator
-from guavacleat.peers import PeerBook
+from guavacleat.peers import PeerTable
 from guavacleat.placement import LoadTracker, Placement
 from guavacleat.quarantine import CrashBook, QuarantineGuard
 from guavacleat.retries import RetryBudget
@@ -70,7 +70,7 @@
         self.pool = ConnectionPool(reactor)
         self.registry = EndpointRegistry(reactor, self._endpoint_leaving, self._endpoint_restarted)
         self.load = LoadTracker(reactor)
-        self.peers = PeerBook(reactor)
+        self.peers = PeerTable(reactor)
         self.load.peers = self.peers
         self.metrics = IngressMetrics()
         self.crashes = CrashBook(reactor)
@@ -96,7 +96,7 @@
         bodies = int(settings.limits.memory_bytes * BODIES_SHARE)
         self.dispatch = Dispatch(self.holder, parts, self.metrics, bodies, self.peers)
         self.evacuator = Evacuator(parts, self.dispatch.sessions)
-        self.endpoint_poll = EndpointInquiry(
+        self.endpoint_poll = EndpointStatusPoller(
             reactor,
             self.pool,
             wire,
--- a/src/guavacleat/ingress/sources.py
+++ b/src/guavacleat/ingress/sources.py
@@ -7,12 +7,12 @@
 from guavacleat.addresses import format_address
 from guavacleat.http1.calls import PooledHttp
 from guavacleat.http1.pool import ConnectionPool
-from guavacleat.membership.inquiry import SILENCE_SECONDS, store_silence
+from guavacleat.membership.status_poll import STORE_SILENCE_SECONDS, store_silence
 from guavacleat.peers import PeerExchange
 from guavacleat.peers.directory import GatewayDirectory
-from guavacleat.peers.hearing import ConfigurationKnown, EndpointsKnown, ListeningDuty
+from guavacleat.peers.sync import ConfigurationSyncState, EndpointSyncState, WatcherSelection
 from guavacleat.quarantine.record import QuarantineRecord
-from guavacleat.rendezvous import chosen
+from guavacleat.rendezvous import select_members
 from guavacleat.settings import ProcessSettings
 from guavacleat.store import StoreClient
 from guavacleat.store.watch import WatchLoop
@@ -81,12 +81,12 @@
     def start(self, ingress) -> None:
         """Begin to follow, on behalf of an :class:`~.service.IngressService`."""
         self.holder, self.registry, self.peers = ingress.holder, ingress.registry, ingress.peers
-        self.endpoints = EndpointsKnown(self.reactor)
-        self.configuration = ConfigurationKnown(self.reactor, lambda: self.holder.version)
+        self.endpoints = EndpointSyncState(self.reactor)
+        self.configuration = ConfigurationSyncState(self.reactor, lambda: self.holder.version)
         directory = GatewayDirectory(
             self.reactor, self.store, self.instance, self.address, self.data_centre
         )
-        self.should_watch = ListeningDuty(
+        self.should_watch = WatcherSelection(
             self.reactor,
             self.instance,
             self.peers,
@@ -96,8 +96,8 @@
         self.configuration_watch = self._watch(
             self.adapter.config_kind,
             self._configuration_changed,
-            on_health=self.registry.store_called,
-            on_revision=lambda revision: self.configuration.answered(),
+            on_health=self.registry.record_store_call,
+            on_revision=lambda revision: self.configuration.record_store_answer(),
             rests=self._configuration_watch_rests,
             newest_only=True,
         )
@@ -106,9 +106,9 @@
             self.adapter.endpoint_kind,
             self._endpoint_changed,
             pause=self._pause,
-            on_health=self.registry.store_health,
+            on_health=self.registry.record_store_health,
             on_listed=self._endpoints_listed,
-            on_revision=self.endpoints.answered,
+            on_revision=self.endpoints.record_store_answer,
             rests=self._endpoint_watch_rests,
         )
         self.exchange = PeerExchange(
@@ -136,13 +136,15 @@
     def _reads_quarantine(self) -> bool:
         """Whether this gateway reads the record of refused requests, for its neighbours too."""
         members = [self.instance, *(report.instance for report in self.peers.alive())]
-        return self.instance in chosen(members, "quarantine", QUARANTINE_READERS)
+        return self.instance in select_members(members, "quarantine", QUARANTINE_READERS)
 
     def _configuration_watch_rests(self) -> bool:
         """Whether peers tell enough of the configuration for now."""
         if self.should_watch():
             return False
-        return not self.configuration.must_ask() or self._others_try(self.configuration_watch)
+        return not self.configuration.must_query_store() or self._others_try(
+            self.configuration_watch
+        )
 
     def _others_try(self, watch: WatchLoop) -> bool:
         """Whether the store did not answer lately, so that trying again is left to listeners."""
@@ -151,13 +153,13 @@
 
     def _endpoint_watch_rests(self) -> bool:
         """Whether peers tell enough of the endpoints for now."""
-        if store_silence(self.registry, self.peers) > SILENCE_SECONDS:
-            self.registry.store_silent()
+        if store_silence(self.registry, self.peers) > STORE_SILENCE_SECONDS:
+            self.registry.record_store_silence()
         if self.should_watch():
             return False
         if self._others_try(self.endpoint_watch):
             return True
-        if self.endpoints.must_ask():
+        if self.endpoints.must_query_store():
             return False
         if not self.registry.entries_by_id:
             # Nothing to serve callers with yet.
@@ -165,7 +167,7 @@
         if self.registry.lapsed_ids:
             # Peers that kept an endpoint tell nothing when it registers again.
             return False
-        if self.endpoints.audit_is_due():
+        if self.endpoints.relist_is_due():
             self.endpoint_watch.list_next()
             return False
         return True
@@ -178,15 +180,15 @@
         self.record.store_restored()
 
     def _endpoints_listed(self, ids: set[str]) -> None:
-        self.registry.listed(ids, self.endpoint_watch.revision)
+        self.registry.observe_listing(ids, self.endpoint_watch.revision)
 
     def _heard_peer(self) -> None:
         """Take in, after a peer's report, how far the endpoints' changes are known."""
-        if era := self.endpoints.told_era():
+        if era := self.endpoints.latest_reported_era():
             self.store.learn_era(era)
         if self.endpoints.revision is not None:
             self.endpoint_watch.advance(self.endpoints.revision)
-            self.registry.store_reached_by_peer(self.endpoints.as_of)
+            self.registry.record_store_reached_by_peer(self.endpoints.as_of)
 
     def announce_stop(self, stops_at: float) -> None:
         """Tell the other gateways that this one ends at a clock time at the latest."""
@@ -270,7 +272,7 @@
             return
         for entry in found.endpoints:
             self.registry.observe(entry)
-        self.registry.listed({entry.id for entry in found.endpoints})
+        self.registry.observe_listing({entry.id for entry in found.endpoints})
 
     def announce_stop(self, stops_at: float) -> None:
         """There is nobody to tell."""
--- a/src/guavacleat/membership/registry.py
+++ b/src/guavacleat/membership/registry.py
@@ -1,7 +1,8 @@
 """Endpoints that register themselves in the object API, as one gateway knows them.
 
 An entry that disappears usually means that its endpoint is leaving. While the store is away,
-though, entries lapse although their endpoints live; those come back within ``RETURN_SECONDS`` of
+though, entries lapse although their endpoints live; those come back within
+``REREGISTRATION_SECONDS`` of
 the store's return. Entries removed in that time are kept until it has passed: dropping them at
 once would leave a gateway without any endpoint just after an outage.
 
@@ -24,14 +25,14 @@
     "EndpointEntry",
     "EndpointRegistry",
     "EndpointState",
-    "RETURN_SECONDS",
+    "REREGISTRATION_SECONDS",
 ]
 
 # Time that live endpoints need to register again after an outage of the store: two seconds by
 # the platform's word, and a margin for the watch that brings the news.
-RETURN_SECONDS = 2.3
+REREGISTRATION_SECONDS = 2.3
 # How long a change is told to peers: longer than a gateway is usually cut off from the store.
-RECENT_SECONDS = 15.0
+CHANGE_RETENTION_SECONDS = 15.0
 # A gateway whose calls of the store failed leaves listening to others for so long.
 UNREACHABLE_SECONDS = 5.0
 
@@ -206,7 +207,7 @@
             return
         self.observe(entry.in_state(EndpointState.UNUSABLE, revision))
 
-    def told_leaving(self, entry: EndpointEntry) -> None:
+    def observe_leaving(self, entry: EndpointEntry) -> None:
         """Take in that the endpoint itself says that it leaves, while the store cannot tell.
 
         Peers take it for the change that follows the entry: no write to the store can have a lower
@@ -251,7 +252,7 @@
             return
         self._drop(id, revision)
 
-    def hear(self, change: EndpointChange, known_to: int | None = None) -> None:
+    def observe_peer_change(self, change: EndpointChange, known_to: int | None = None) -> None:
         """Take in what a peer learnt from the store, unless as much is known here.
 
         :param known_to: the store's revision up to which everything is known here. An endpoint that
@@ -269,10 +270,10 @@
         if entry is not None and entry.revision <= change.revision:
             self._drop(change.id, change.revision)
 
-    def recent_changes(self, seconds: float = RECENT_SECONDS) -> list[EndpointChange]:
+    def recent_changes(self, seconds: float = CHANGE_RETENTION_SECONDS) -> list[EndpointChange]:
         """Changes of the last ``seconds``, for peers; what is older than all is forgotten."""
         now = self.clock.seconds()
-        oldest = now - RECENT_SECONDS
+        oldest = now - CHANGE_RETENTION_SECONDS
         old = [
             id
             for id, change in self.changes_by_id.items()
@@ -282,7 +283,7 @@
             del self.changes_by_id[id]
         return [change for change in self.changes_by_id.values() if change.at >= now - seconds]
 
-    def listed(self, ids: set[str], revision: int | None = None) -> None:
+    def observe_listing(self, ids: set[str], revision: int | None = None) -> None:
         """Take in a whole listing: every entry not in it is gone.
 
         What a peer told of later than the listing's ``revision`` is left as it is.
@@ -292,15 +293,15 @@
             if revision is None or self.entries_by_id[id].revision <= revision:
                 self.remove(id)
 
-    def store_called(self, healthy: bool) -> None:
+    def record_store_call(self, healthy: bool) -> None:
         """Hear whether the store answered some call."""
         if healthy:
             self.store_heard_at = self.clock.seconds()
 
-    def store_health(self, healthy: bool) -> None:
+    def record_store_health(self, healthy: bool) -> None:
         """Hear whether the store answered the last call of the watch."""
         now = self.clock.seconds()
-        self.store_called(healthy)
+        self.record_store_call(healthy)
         self.store_failed_at = None if healthy else now
         if not healthy and self.store_lost_at is None:
             self.store_lost_at = now
@@ -308,7 +309,7 @@
         elif healthy:
             self._store_is_back()
 
-    def store_reached_by_peer(self, at: float) -> None:
+    def record_store_reached_by_peer(self, at: float) -> None:
         """Hear that the store answered a peer at clock time ``at``.
 
         A gateway that no longer asks would believe the store away until it asks again, and then
@@ -322,7 +323,7 @@
         self.copied_by_id.clear()
         self.store_back_at = self.clock.seconds()
 
-    def store_silent(self) -> None:
+    def record_store_silence(self) -> None:
         """Hear, on a gateway that does not ask the store itself, that nobody hears it just now.
 
         Entries may lapse meanwhile, which this gateway would take for removed if it asked next.
@@ -343,7 +344,7 @@
         failed_at = self.store_failed_at
         return failed_at is not None and self.clock.seconds() - failed_at < UNREACHABLE_SECONDS
 
-    def suspect_gone(self, id: str) -> None:
+    def remove_stale(self, id: str) -> None:
         """Another incarnation answered at this endpoint's address: the entry is out of date."""
         if id in self.entries_by_id:
             self._drop(id)
@@ -368,7 +369,7 @@
     def _return_time_left(self) -> float:
         if self.store_back_at is None:
             return 0.0
-        return max(0.0, self.store_back_at + RETURN_SECONDS - self.clock.seconds())
+        return max(0.0, self.store_back_at + REREGISTRATION_SECONDS - self.clock.seconds())
 
     def _drop_if_lapsed(self, id: str) -> None:
         if id in self.lapsed_ids:
--- a/src/guavacleat/membership/inquiry.py
+++ b/src/guavacleat/membership/status_poll.py
@@ -17,17 +17,17 @@
 from guavacleat.http1.calls import CallBrokenError, call
 from guavacleat.membership.registry import EndpointEntry, EndpointRegistry
 from guavacleat.periodic import Periodic
-from guavacleat.rendezvous import chosen
+from guavacleat.rendezvous import select_members
 
-__all__ = ["EndpointInquiry", "SILENCE_SECONDS", "store_silence"]
+__all__ = ["EndpointStatusPoller", "STORE_SILENCE_SECONDS", "store_silence"]
 
 # Between two questions to an engine: a small part of the notice that engines give.
 ASK_SECONDS = 0.4
 # Watches come back every 1.2 to 2 s, two in each gateway that listens, in step with nobody: with
 # some gateways, a second without any answer to any of them is unusual. A gateway alone has to wait
 # for its own.
-SILENCE_SECONDS = 1.0
-SILENCE_ALONE_SECONDS = 2.2
+STORE_SILENCE_SECONDS = 1.0
+STORE_SILENCE_ALONE_SECONDS = 2.2
 # A report comes within some ms; one that does not come in time says nothing.
 ANSWER_SECONDS = 0.3
 
@@ -37,13 +37,13 @@
     return min(registry.store_silence(), peers.store_silence())
 
 
-class EndpointInquiry:
+class EndpointStatusPoller:
     """Asks while the store is away.
 
     :param instance: this gateway's name.
     :param load: the :class:`~guavacleat.placement.LoadTracker`: only endpoints that run generations
         have something to lose.
-    :param peers: the :class:`~guavacleat.peers.PeerBook`.
+    :param peers: the :class:`~guavacleat.peers.PeerTable`.
     """
 
     def __init__(
@@ -93,12 +93,12 @@
         if self.registry.store_away and all(report.store_away for report in reports):
             return True
         silence = store_silence(self.registry, self.peers)
-        return silence > (SILENCE_SECONDS if reports else SILENCE_ALONE_SECONDS)
+        return silence > (STORE_SILENCE_SECONDS if reports else STORE_SILENCE_ALONE_SECONDS)
 
     def _is_mine(self, entry: EndpointEntry, askers: list[str]) -> bool:
         if not self.load.total(entry.id).peak_tokens:
             return False
-        return chosen(askers, entry.id) == [self.instance]
+        return select_members(askers, entry.id) == [self.instance]
 
     async def _ask(self, entry: EndpointEntry) -> None:
         self._asked.add(entry.id)
@@ -115,7 +115,7 @@
         status = self.wire.decode_status(answer.code, answer.body)
         if status.leaving and self.registry.is_current(entry):
             log_message(message_type="endpoint:told", endpoint=entry.id, leaves_in=status.leaves_in)
-            self.registry.told_leaving(entry)
+            self.registry.observe_leaving(entry)
 
     def _note_error(self, failure) -> None:
         log_message(message_type="endpoint:ask-error", error=failure.getTraceback())
--- a/src/guavacleat/membership/view.py
+++ b/src/guavacleat/membership/view.py
@@ -60,7 +60,7 @@
             names[record.name] = None
             self.ordered_by_service.pop(record.service, None)
 
-    def store_health(self, healthy: bool) -> None:
+    def record_store_health(self, healthy: bool) -> None:
         """Hear from the watch whether the store answered.
 
         During an outage no renewal can arrive, so lease ages stop: the view keeps the last known
--- a/src/guavacleat/peers/__init__.py
+++ b/src/guavacleat/peers/__init__.py
@@ -1,6 +1,6 @@
 """What the gateways of a deployment tell each other: their generations on each endpoint."""
 
-from guavacleat.peers.book import PeerBook
 from guavacleat.peers.exchange import PeerExchange
+from guavacleat.peers.table import PeerTable
 
-__all__ = ["PeerBook", "PeerExchange"]
+__all__ = ["PeerTable", "PeerExchange"]
--- a/src/guavacleat/peers/crashes.py
+++ b/src/guavacleat/peers/crashes.py
@@ -8,21 +8,23 @@
 from guavacleat.protocol.gen.peers import ttypes
 from guavacleat.quarantine import CrashBook
 
-__all__ = ["CrashNews"]
+__all__ = ["CrashGossip"]
 
 # Fingerprints in one report at most, some ten bytes each.
-FINGERPRINTS_TOLD = 128
+MAX_FINGERPRINTS_PER_REPORT = 128
 CLEARANCES_TOLD = 64
 
 
-class CrashNews:
+class CrashGossip:
     """Turns a gateway's :class:`~guavacleat.quarantine.CrashBook` into reports and back."""
 
     def __init__(self, clock, book: CrashBook):
         self.clock = clock
         self.book = book
 
-    def message(self, seconds: float, forwards: bool, everything: bool) -> ttypes.Crashes | None:
+    def build_message(
+        self, seconds: float, forwards: bool, everything: bool
+    ) -> ttypes.Crashes | None:
         """What to tell; None if there is nothing.
 
         :param seconds: how far back what was learnt is news.
@@ -56,7 +58,7 @@
             self.book.learn_trial(trial.fingerprint, trial.endpoint, trial.age)
 
     def _bounded(self, ends) -> list[ttypes.EndpointEnd]:
-        told, left = [], FINGERPRINTS_TOLD
+        told, left = [], MAX_FINGERPRINTS_PER_REPORT
         for end in ends:
             fingerprints = self.book.most_suspected(end)[:left]
             left -= len(fingerprints)
--- a/src/guavacleat/peers/exchange.py
+++ b/src/guavacleat/peers/exchange.py
@@ -7,13 +7,13 @@
 from eliot import log_message
 from twisted.internet import defer, protocol, task
 
-from guavacleat.membership.registry import RECENT_SECONDS, EndpointRegistry
-from guavacleat.peers.book import PeerBook
-from guavacleat.peers.crashes import CrashNews
+from guavacleat.membership.registry import CHANGE_RETENTION_SECONDS, EndpointRegistry
+from guavacleat.peers.crashes import CrashGossip
 from guavacleat.peers.directory import GatewayDirectory
-from guavacleat.peers.hearing import ConfigurationKnown, EndpointsKnown
 from guavacleat.peers.report import BadReportError, GatewayReport, decode_report, encode_report
 from guavacleat.peers.summaries import FORWARDERS, GATHER_SECONDS, SummaryExchange, add_up
+from guavacleat.peers.sync import ConfigurationSyncState, EndpointSyncState
+from guavacleat.peers.table import PeerTable
 from guavacleat.placement import LoadTracker
 from guavacleat.quarantine import CrashBook
 
@@ -63,8 +63,8 @@
     """Trades reports with the other gateways.
 
     :param directory: this gateway's :class:`~.directory.GatewayDirectory`.
-    :param configuration: a :class:`~.hearing.ConfigurationKnown`.
-    :param endpoints: an :class:`~.hearing.EndpointsKnown`.
+    :param configuration: a :class:`~.sync.ConfigurationSyncState`.
+    :param endpoints: an :class:`~.sync.EndpointSyncState`.
     :param crashes: this gateway's :class:`~guavacleat.quarantine.CrashBook`.
     :param on_heard: called after each report was taken in.
     """
@@ -73,11 +73,11 @@
         self,
         reactor,
         directory: GatewayDirectory,
-        book: PeerBook,
+        book: PeerTable,
         load: LoadTracker,
         registry: EndpointRegistry,
-        configuration: ConfigurationKnown,
-        endpoints: EndpointsKnown,
+        configuration: ConfigurationSyncState,
+        endpoints: EndpointSyncState,
         crashes: CrashBook,
         on_heard=lambda: None,
     ):
@@ -88,7 +88,7 @@
         self.registry = registry
         self.configuration = configuration
         self.endpoints = endpoints
-        self.crashes = CrashNews(reactor, crashes)
+        self.crashes = CrashGossip(reactor, crashes)
         self.on_heard = on_heard
         self.summaries = SummaryExchange(
             reactor, book, directory, self._encode_summary, self._send_near, self._send_far
@@ -208,10 +208,10 @@
     def _message(self, loads, news: _News, forwards: bool, **fields) -> GatewayReport:
         """A report; with ``forwards`` it passes on what others saw of crashes."""
         retells = news.retells()
-        news_seconds = RECENT_SECONDS if retells else NEWS_SECONDS
+        news_seconds = CHANGE_RETENTION_SECONDS if retells else NEWS_SECONDS
         crashes = None
         if news.tells_crashes(self.crashes.book.changed_at) or retells:
-            crashes = self.crashes.message(news_seconds, forwards, everything=retells)
+            crashes = self.crashes.build_message(news_seconds, forwards, everything=retells)
         self.sequence += 1
         return GatewayReport(
             self.directory.instance,
@@ -285,11 +285,11 @@
     def _learn(self, report: GatewayReport) -> None:
         """Take in what a peer knows of the store."""
         for change in report.changes:
-            self.registry.hear(change, self.endpoints.revision)
+            self.registry.observe_peer_change(change, self.endpoints.revision)
         if report.crashes is not None:
             self.crashes.learn(report.crashes)
-        self.endpoints.hear(report)
-        self.configuration.hear(report)
+        self.endpoints.observe_report(report)
+        self.configuration.observe_report(report)
         self.on_heard()
 
     def _note_error(self, failure) -> None:
--- a/src/guavacleat/peers/summaries.py
+++ b/src/guavacleat/peers/summaries.py
@@ -10,10 +10,10 @@
 
 import random
 
-from guavacleat.peers.book import SILENCE_SECONDS, PeerBook
 from guavacleat.peers.directory import GatewayDirectory
+from guavacleat.peers.table import PEER_TIMEOUT_SECONDS, PeerTable
 from guavacleat.placement import EndpointLoad, sum_loads
-from guavacleat.rendezvous import chosen
+from guavacleat.rendezvous import select_members
 
 __all__ = ["FORWARDERS", "GATHER_SECONDS", "SummaryExchange", "add_up"]
 
@@ -34,7 +34,7 @@
     """
 
     def __init__(
-        self, clock, book: PeerBook, directory: GatewayDirectory, encode, send_near, send_far
+        self, clock, book: PeerTable, directory: GatewayDirectory, encode, send_near, send_far
     ):
         self.clock = clock
         self.book = book
@@ -70,7 +70,7 @@
         """Whether this gateway is among the first ``count`` forwarders of its data centre."""
         instance = self.directory.instance
         near = [report.instance for report in self.book.alive()]
-        return instance in chosen([instance, *near], "forward", count)
+        return instance in select_members([instance, *near], "forward", count)
 
     def _send_soon(self, forwarders: int) -> None:
         if self._gathering is None and not self.stopped and self.forwards(forwarders):
@@ -99,7 +99,7 @@
         A gateway that sends is alive. Without one, another draw each time finds one that is.
         """
         known = self.directory.far_by_data_centre[data_centre]
-        oldest = self.clock.seconds() - SILENCE_SECONDS
+        oldest = self.clock.seconds() - PEER_TIMEOUT_SECONDS
         senders = self.book.summaries_by_data_centre.get(data_centre, {})
         alive = [
             instance
--- a/src/guavacleat/peers/hearing.py
+++ b/src/guavacleat/peers/sync.py
@@ -18,17 +18,17 @@
 
 from twisted.internet.interfaces import IReactorTime
 
-from guavacleat.membership.registry import RECENT_SECONDS, EndpointRegistry
-from guavacleat.peers.book import PeerBook
+from guavacleat.membership.registry import CHANGE_RETENTION_SECONDS, EndpointRegistry
 from guavacleat.peers.report import GatewayReport
-from guavacleat.rendezvous import chosen
+from guavacleat.peers.table import PeerTable
+from guavacleat.rendezvous import select_members
 from guavacleat.store import Revision
 
-__all__ = ["ConfigurationKnown", "EndpointsKnown", "ListeningDuty"]
+__all__ = ["ConfigurationSyncState", "EndpointSyncState", "WatcherSelection"]
 
 # Listeners of a deployment, spread evenly over its data centres, at least one in each: with one
 # alone, all would be deaf while it falls silent.
-LISTENERS = 6
+WATCHERS = 6
 # So long after its start a gateway leaves listening to others: it has just read everything, and
 # does not know yet whom it has for peers.
 SETTLE_SECONDS = 0.6
@@ -39,10 +39,10 @@
 GAP_SECONDS = 0.5
 # A gateway lists the endpoints itself after so long, whatever it was told: one that wrongly
 # believed itself complete would stay wrong.
-AUDIT_SECONDS = (15.0, 30.0)
+RELIST_SECONDS = (15.0, 30.0)
 
 
-class ListeningDuty:
+class WatcherSelection:
     """Whether this gateway is one of those that listen to the store.
 
     :param data_centres: returns how many data centres have gateways.
@@ -52,7 +52,7 @@
         self,
         clock: IReactorTime,
         instance: str,
-        book: PeerBook,
+        book: PeerTable,
         registry: EndpointRegistry,
         data_centres,
     ):
@@ -72,10 +72,10 @@
             reaching.append(self.instance)
         # While nobody reaches the store, some go on trying.
         members = reaching or [self.instance, *(report.instance for report in alive)]
-        return self.instance in chosen(members, "store", self._count())
+        return self.instance in select_members(members, "store", self._count())
 
     def _count(self) -> int:
-        return max(1, math.ceil(LISTENERS / max(1, self.data_centres())))
+        return max(1, math.ceil(WATCHERS / max(1, self.data_centres())))
 
 
 class _Known:
@@ -101,7 +101,7 @@
             self.as_of = max(self.as_of, self.clock.seconds() - age)
 
 
-class EndpointsKnown(_Known):
+class EndpointSyncState(_Known):
     """How far a gateway knows the endpoints' changes.
 
     :ivar revision: the store's revision up to which it knows them all; None before a listing.
@@ -116,13 +116,13 @@
         # (clock time, revision known from then on), oldest first.
         self._history: collections.deque[tuple[float, int]] = collections.deque()
 
-    def answered(self, revision: int) -> None:
+    def record_store_answer(self, revision: int) -> None:
         """The store itself told everything up to ``revision``."""
-        self._audit_at = self.clock.seconds() + random.uniform(*AUDIT_SECONDS)
+        self._audit_at = self.clock.seconds() + random.uniform(*RELIST_SECONDS)
         self._newest_at(0.0)
         self._advance(revision)
 
-    def hear(self, report: GatewayReport) -> None:
+    def observe_report(self, report: GatewayReport) -> None:
         """Take in how far a peer knows, after the changes that it told."""
         told = report.endpoints_revision
         if told is None or self.revision is None:
@@ -135,17 +135,17 @@
         elif self._gap_since is None:
             self._gap_since = self.clock.seconds()
 
-    def told_era(self) -> int:
+    def latest_reported_era(self) -> int:
         """The latest era of the store that a peer told."""
         return Revision(self._told_revision).era
 
-    def must_ask(self) -> bool:
+    def must_query_store(self) -> bool:
         """Whether the store has to be asked, as peers don't tell enough."""
         since = self._gap_since
         gap = since is not None and self.clock.seconds() - since > GAP_SECONDS
         return gap or self.is_stale()
 
-    def audit_is_due(self) -> bool:
+    def relist_is_due(self) -> bool:
         """Whether the endpoints should be listed, as nothing was heard from the store for long."""
         return self.clock.seconds() >= self._audit_at
 
@@ -166,12 +166,12 @@
             self._gap_since = None
 
     def _forget_old(self) -> None:
-        oldest = self.clock.seconds() - RECENT_SECONDS
+        oldest = self.clock.seconds() - CHANGE_RETENTION_SECONDS
         while len(self._history) > 1 and self._history[1][0] < oldest:
             self._history.popleft()
 
 
-class ConfigurationKnown(_Known):
+class ConfigurationSyncState(_Known):
     """Whether the configuration in force is the newest.
 
     :param version: returns the version in force, None while there is none.
@@ -184,11 +184,11 @@
         self.on_newer = on_newer
         self.told: int | None = None
 
-    def answered(self) -> None:
+    def record_store_answer(self) -> None:
         """The store told the newest."""
         self._newest_at(0.0)
 
-    def hear(self, report: GatewayReport) -> None:
+    def observe_report(self, report: GatewayReport) -> None:
         """Take in which version a peer has in force."""
         told, own = report.configuration, self.version()
         if told is None or own is None:
@@ -199,7 +199,7 @@
         elif told > own:
             self.on_newer()
 
-    def must_ask(self) -> bool:
+    def must_query_store(self) -> bool:
         own = self.version()
         behind = own is None or (self.told is not None and self.told > own)
         return behind or self.is_stale()
--- a/src/guavacleat/peers/book.py
+++ b/src/guavacleat/peers/table.py
@@ -12,10 +12,10 @@
 from guavacleat.peers.report import GatewayReport
 from guavacleat.placement import EndpointLoad, sum_loads
 
-__all__ = ["PeerBook", "RESTART_SECONDS", "SILENCE_SECONDS"]
+__all__ = ["PeerTable", "RESTART_SECONDS", "PEER_TIMEOUT_SECONDS"]
 
 # A peer not heard for so long counts as gone, and its runs with it: three reports in a row lost.
-SILENCE_SECONDS = 1.6
+PEER_TIMEOUT_SECONDS = 1.6
 # From the end of a gateway's process until its next start takes callers: the start, then its
 # configuration and the balancer's next question.
 RESTART_SECONDS = 1.0
@@ -29,7 +29,7 @@
         self.heard_at = heard_at
 
 
-class PeerBook:
+class PeerTable:
     """Reports by instance; those of silent peers are left out.
 
     ``on_report()`` is called when a report was taken in.
@@ -80,7 +80,7 @@
         ]
 
     def _lately(self, peers: dict[str, _Peer]) -> list[_Peer]:
-        oldest = self.clock.seconds() - SILENCE_SECONDS
+        oldest = self.clock.seconds() - PEER_TIMEOUT_SECONDS
         return [peer for peer in peers.values() if peer.heard_at >= oldest]
 
     def _all(self) -> itertools.chain:
@@ -101,14 +101,14 @@
         silences = (peer.report.store_silence + now - peer.heard_at for peer in self._all())
         return min(silences, default=float("inf"))
 
-    def ready_in(self) -> float | None:
+    def seconds_until_ready(self) -> float | None:
         """Seconds until a peer takes callers: 0 if one does; None if none was heard of lately.
 
         One that is being stopped is expected back after its end, as it told that.
         """
         now = self.clock.seconds()
         waits = [self._ready_at(peer) - now for peer in self._all()]
-        lately = [max(0.0, wait) for wait in waits if wait >= -SILENCE_SECONDS]
+        lately = [max(0.0, wait) for wait in waits if wait >= -PEER_TIMEOUT_SECONDS]
         return min(lately, default=None)
 
     @staticmethod
--- a/src/guavacleat/rendezvous.py
+++ b/src/guavacleat/rendezvous.py
@@ -9,7 +9,7 @@
 import heapq
 from collections.abc import Iterable
 
-__all__ = ["chosen", "weight"]
+__all__ = ["select_members", "weight"]
 
 # Pairs of member and task whose ranks are kept.
 RANKS_KEPT = 4096
@@ -21,6 +21,6 @@
     return hashlib.blake2b(f"{member}|{task}".encode(), digest_size=8).digest()
 
 
-def chosen(members: Iterable[str], task: str, count: int = 1) -> list[str]:
+def select_members(members: Iterable[str], task: str, count: int = 1) -> list[str]:
     """The first ``count`` members for a task, fewer if there are no more."""
     return heapq.nlargest(count, members, key=lambda member: weight(member, task))
--- a/tests/forwarding/test_quarantine.py
+++ b/tests/forwarding/test_quarantine.py
@@ -192,6 +192,6 @@
     request, _, _ = plain(world, attempts=1)
     side = world.pool.connections[0]
     leaving = world.registry.entries_by_id[side.address[0]]
-    world.registry.told_leaving(leaving)
+    world.registry.observe_leaving(leaving)
     crash(world, side)
     assert world.crashes.crashes(request.content_key) == 0
--- a/tests/ingress/test_dispatch.py
+++ b/tests/ingress/test_dispatch.py
@@ -7,9 +7,9 @@
 from guavacleat.http1.server import CallerExchange
 from guavacleat.ingress.dispatch import LAST_STREAM_SECONDS, Dispatch
 from guavacleat.ingress.metrics import IngressMetrics
-from guavacleat.peers import PeerBook
-from guavacleat.peers.book import RESTART_SECONDS
+from guavacleat.peers import PeerTable
 from guavacleat.peers.report import GatewayReport
+from guavacleat.peers.table import RESTART_SECONDS
 from guavacleat.routes import (
     Account,
     Backend,
@@ -53,7 +53,7 @@
 def dispatch(world):
     holder = RouteHolder()
     holder.offer(table())
-    return Dispatch(holder, world.parts, IngressMetrics(), 100, PeerBook(world.clock))
+    return Dispatch(holder, world.parts, IngressMetrics(), 100, PeerTable(world.clock))
 
 
 def ask(dispatch, path="/keyed/x", key=b"k1", host=b"h:80", body=b""):
@@ -114,7 +114,7 @@
     Sequence: a gateway starts while the store is away; a request for a known route comes.
     Cause: a gateway that knows no configuration can only ask the caller to come back.
     """
-    dispatch = Dispatch(RouteHolder(), world.parts, IngressMetrics(), 100, PeerBook(world.clock))
+    dispatch = Dispatch(RouteHolder(), world.parts, IngressMetrics(), 100, PeerTable(world.clock))
     caller = ask(dispatch)
     assert caller.head[0] == 503
     assert float(caller.head[1][b"retry-after"]) > 0
--- a/tests/membership/test_registry.py
+++ b/tests/membership/test_registry.py
@@ -7,8 +7,8 @@
 from twisted.internet.task import Clock
 
 from guavacleat.membership.registry import (
-    RECENT_SECONDS,
-    RETURN_SECONDS,
+    CHANGE_RETENTION_SECONDS,
+    REREGISTRATION_SECONDS,
     EndpointChange,
     EndpointRegistry,
     EndpointState,
@@ -62,28 +62,28 @@
     endpoints register again within two seconds, but for one.
     Cause: a removal in that time says nothing of the endpoint; one still missing later is gone.
     """
-    registry.store_health(False)
+    registry.record_store_health(False)
     clock.advance(5)
-    registry.store_health(True)
-    registry.listed(set())
+    registry.record_store_health(True)
+    registry.observe_listing(set())
     assert ready_ids(registry) == ["e1", "e2"]
     clock.advance(1)
     registry.observe(entry("e1"))
-    clock.advance(RETURN_SECONDS)
+    clock.advance(REREGISTRATION_SECONDS)
     assert ready_ids(registry) == ["e1"]
     assert [found.id for found in left] == ["e2"]
 
 
 def test_a_draining_entry_that_vanishes_in_an_outage_is_gone(registry, clock):
     registry.observe(entry("e1", state=DRAINING))
-    registry.store_health(False)
-    registry.store_health(True)
-    registry.listed({"e2"})
+    registry.record_store_health(False)
+    registry.record_store_health(True)
+    registry.observe_listing({"e2"})
     assert "e1" not in registry.entries_by_id
 
 
 def test_a_listing_drops_what_was_removed_unseen(registry):
-    registry.listed({"e2"})
+    registry.observe_listing({"e2"})
     assert ready_ids(registry) == ["e2"]
 
 
@@ -94,7 +94,7 @@
     answers that it is not the one expected.
     Cause: the old entry must not be used again.
     """
-    registry.suspect_gone("e1")
+    registry.remove_stale("e1")
     assert ready_ids(registry) == ["e2"]
 
 
@@ -105,16 +105,16 @@
     Cause: what is known of an endpoint may only be replaced by a later revision.
     """
     registry.observe(entry("e1", revision=5, state=DRAINING))
-    registry.hear(EndpointChange("e1", 4, entry("e1", revision=4)))
+    registry.observe_peer_change(EndpointChange("e1", 4, entry("e1", revision=4)))
     assert ready_ids(registry) == ["e2"]
     registry.remove("e1", revision=7)
-    registry.hear(EndpointChange("e1", 6, entry("e1", revision=6)))
+    registry.observe_peer_change(EndpointChange("e1", 6, entry("e1", revision=6)))
     assert ready_ids(registry) == ["e2"]
 
 
 def test_an_endpoint_that_a_peer_knows_to_be_gone_is_gone_also_in_an_outage(registry, left):
-    registry.store_health(False)
-    registry.hear(EndpointChange("e1", 9, None))
+    registry.record_store_health(False)
+    registry.observe_peer_change(EndpointChange("e1", 9, None))
     assert ready_ids(registry) == ["e2"]
     assert [found.id for found in left] == ["e1"]
 
@@ -122,7 +122,7 @@
 def test_changes_are_told_for_a_time_and_then_forgotten(registry, clock):
     registry.remove("e1", revision=4)
     assert {change.id for change in registry.recent_changes()} == {"e1", "e2"}
-    clock.advance(RECENT_SECONDS + 1)
+    clock.advance(CHANGE_RETENTION_SECONDS + 1)
     assert registry.recent_changes() == []
     assert "e1" not in registry.changes_by_id
 
@@ -174,7 +174,7 @@
     watch brings the removal from before.
     Cause: the removal has an older revision than the entry.
     """
-    registry.hear(EndpointChange("e1", 9, entry("e1", revision=9, started_ms=2000)))
+    registry.observe_peer_change(EndpointChange("e1", 9, entry("e1", revision=9, started_ms=2000)))
     registry.remove("e1", revision=8)
     assert ready_ids(registry) == ["e1", "e2"]
 
@@ -266,11 +266,11 @@
 
     @rule(ids=st.sets(ids))
     def compacted(self, ids):
-        self.registry.listed(ids)
+        self.registry.observe_listing(ids)
 
     @rule(healthy=st.booleans(), seconds=st.floats(0, 4))
     def store(self, healthy, seconds):
-        self.registry.store_health(healthy)
+        self.registry.record_store_health(healthy)
         self.clock.advance(seconds)
 
     @invariant()
@@ -312,11 +312,11 @@
 
     @rule(ids=st.sets(ids))
     def list(self, ids):
-        self.registry.listed(ids)
+        self.registry.observe_listing(ids)
 
     @rule(healthy=st.booleans())
     def store(self, healthy):
-        self.registry.store_health(healthy)
+        self.registry.record_store_health(healthy)
 
     @rule(seconds=st.floats(0, 4))
     def wait(self, seconds):
@@ -345,7 +345,7 @@
     registry = EndpointRegistry(clock)
     registry.observe(entry("e1", revision=10))
     registry.observe(entry("e1", revision=15))
-    registry.hear(EndpointChange("e1", 14, None))
+    registry.observe_peer_change(EndpointChange("e1", 14, None))
     assert ready_ids(registry) == ["e1"]
 
 
@@ -357,6 +357,6 @@
     Cause: an unknown endpoint was taken for a new one, although the listing is newer.
     """
     registry = EndpointRegistry(clock)
-    registry.hear(EndpointChange("e1", 10, entry("e1", revision=10)), known_to=18)
-    registry.hear(EndpointChange("e2", 19, entry("e2", revision=19)), known_to=18)
+    registry.observe_peer_change(EndpointChange("e1", 10, entry("e1", revision=10)), known_to=18)
+    registry.observe_peer_change(EndpointChange("e2", 19, entry("e2", revision=19)), known_to=18)
     assert ready_ids(registry) == ["e2"]
--- a/tests/membership/test_inquiry.py
+++ b/tests/membership/test_status_poll.py
@@ -11,14 +11,14 @@
 
 from guavacleat.forwarding.messages import EndpointStatus
 from guavacleat.http1.calls import CallBrokenError
-from guavacleat.membership.inquiry import (
+from guavacleat.membership.registry import EndpointRegistry, EndpointState
+from guavacleat.membership.status_poll import (
     ASK_SECONDS,
-    SILENCE_ALONE_SECONDS,
-    SILENCE_SECONDS,
-    EndpointInquiry,
+    STORE_SILENCE_ALONE_SECONDS,
+    STORE_SILENCE_SECONDS,
+    EndpointStatusPoller,
 )
-from guavacleat.membership.registry import EndpointRegistry, EndpointState
-from guavacleat.peers import PeerBook
+from guavacleat.peers import PeerTable
 from guavacleat.peers.report import GatewayReport
 from guavacleat.placement import EndpointLoad, LoadTracker, Run
 from tests.forwarding.harness import entry
@@ -54,17 +54,17 @@
         self.leaving = set()
         self.silent = set()
         self.left = []
-        monkeypatch.setattr("guavacleat.membership.inquiry.call", self._call)
+        monkeypatch.setattr("guavacleat.membership.status_poll.call", self._call)
         self.registry = EndpointRegistry(clock, lambda entry: self.left.append(entry.id))
         self.load = LoadTracker(clock)
-        self.peers = PeerBook(clock)
+        self.peers = PeerTable(clock)
         self.load.peers = self.peers
         for id in ENGINES:
             self.registry.observe(entry(id, revision=3))
             self.load.begin(id, Run("r" + id, 3000))
         self.registry.observe(entry("idle", revision=3))
-        self.registry.store_health(True)
-        self.inquiry = EndpointInquiry(
+        self.registry.record_store_health(True)
+        self.inquiry = EndpointStatusPoller(
             clock, None, Status(), self.registry, self.load, self.peers, "g1"
         )
         self.inquiry.start()
@@ -102,7 +102,7 @@
 
 def test_nobody_is_asked_while_the_store_answers(fleet):
     for _ in range(30):
-        fleet.registry.store_health(True)
+        fleet.registry.record_store_health(True)
         fleet.clock.advance(0.2)
     assert fleet.asked == []
 
@@ -113,7 +113,7 @@
     Sequence: the store refuses every call; an engine that runs streams is taken away.
     Cause: its notice is in the store, which nobody reaches.
     """
-    fleet.registry.store_health(False)
+    fleet.registry.record_store_health(False)
     pass_time(fleet, 1)
     fleet.leaving.add("e1")
     pass_time(fleet, NOTICE_SECONDS / 3)
@@ -123,7 +123,7 @@
 
 def test_only_engines_that_run_generations_are_asked(fleet):
     """Each question is paid for, and an idle engine has nothing to lose."""
-    fleet.registry.store_health(False)
+    fleet.registry.record_store_health(False)
     pass_time(fleet, 3 * ASK_SECONDS)
     assert set(fleet.asked) == set(ENGINES)
 
@@ -135,7 +135,7 @@
     Cause: each gateway waits for its own watch to run out, longer than a notice.
     """
     fleet.hear_peer(1, store_away=False, silence=0.5)
-    pass_time(fleet, SILENCE_SECONDS - 0.2)
+    pass_time(fleet, STORE_SILENCE_SECONDS - 0.2)
     assert fleet.asked == []
     fleet.hear_peer(2, store_away=False, silence=1.3)
     pass_time(fleet, 0.2 + ASK_SECONDS)
@@ -151,7 +151,7 @@
     """
     fleet.hear_peer(1, store_away=False, silence=5.0)
     for _ in range(30):
-        fleet.registry.store_called(True)
+        fleet.registry.record_store_call(True)
         fleet.clock.advance(0.2)
     assert fleet.asked == []
 
@@ -164,19 +164,19 @@
     Cause: a store that was never heard was taken for one that fell silent.
     """
     fleet.registry.store_heard_at = EndpointRegistry(fleet.clock).store_heard_at
-    pass_time(fleet, 2 * SILENCE_ALONE_SECONDS)
+    pass_time(fleet, 2 * STORE_SILENCE_ALONE_SECONDS)
     assert fleet.asked == []
 
 
 def test_a_gateway_alone_waits_for_its_own_watches(fleet):
-    pass_time(fleet, SILENCE_ALONE_SECONDS - 0.3)
+    pass_time(fleet, STORE_SILENCE_ALONE_SECONDS - 0.3)
     assert fleet.asked == []
     pass_time(fleet, 0.3 + ASK_SECONDS)
     assert fleet.asked
 
 
 def test_a_peer_that_hears_the_store_is_left_to_tell(fleet):
-    fleet.registry.store_health(False)
+    fleet.registry.record_store_health(False)
     for sequence in range(1, 20):
         fleet.hear_peer(sequence, store_away=False)
         pass_time(fleet, 0.2)
@@ -184,7 +184,7 @@
 
 
 def test_each_engine_is_asked_by_one_gateway(fleet):
-    fleet.registry.store_health(False)
+    fleet.registry.record_store_health(False)
     fleet.hear_peer(1, store_away=True, loads=ENGINES)
     pass_time(fleet, 2 * ASK_SECONDS)
     mine = set(fleet.asked)
@@ -200,7 +200,7 @@
 
 def test_an_engine_that_does_not_answer_is_not_taken_for_leaving(fleet):
     fleet.silent = set(ENGINES)
-    fleet.registry.store_health(False)
+    fleet.registry.record_store_health(False)
     pass_time(fleet, 3)
     assert fleet.left == []
 
@@ -211,7 +211,7 @@
     Sequence: it said that it leaves; it started again; the store, back, tells of the new process.
     Cause: what it said must not count for more than any later change in the store.
     """
-    fleet.registry.told_leaving(fleet.registry.entries_by_id["e1"])
+    fleet.registry.observe_leaving(fleet.registry.entries_by_id["e1"])
     told = {change.id: change for change in fleet.registry.recent_changes()}
     assert told["e1"].entry.state is EndpointState.DRAINING
     fleet.registry.observe(entry("e1", revision=4))
@@ -228,8 +228,8 @@
         held.append(defer.Deferred())
         await held[-1]
 
-    monkeypatch.setattr("guavacleat.membership.inquiry.call", never)
-    fleet.registry.store_health(False)
+    monkeypatch.setattr("guavacleat.membership.status_poll.call", never)
+    fleet.registry.record_store_health(False)
     pass_time(fleet, 2 * ASK_SECONDS)
     gc.collect()
     pass_time(fleet, 2 * ASK_SECONDS)
--- a/tests/membership/test_view.py
+++ b/tests/membership/test_view.py
@@ -59,7 +59,7 @@
         "endpoints",
         lambda s: view.observe(s.value),
         wait=1,
-        on_health=view.store_health,
+        on_health=view.record_store_health,
     )
     loop.start()
     clock.advance(0)
--- a/tests/peers/fleet.py
+++ b/tests/peers/fleet.py
@@ -12,7 +12,7 @@
 
 from guavacleat.ingress.sources import StoreSource
 from guavacleat.membership.registry import EndpointRegistry, EndpointState
-from guavacleat.peers import PeerBook
+from guavacleat.peers import PeerTable
 from guavacleat.placement import LoadTracker
 from guavacleat.platform.adapter import PlatformAdapter
 from guavacleat.platform.settings import parse_process_settings
@@ -83,7 +83,7 @@
     def learn_era(self, era):
         """This store never comes back from a copy."""
 
-    def cut(self, state):
+    def set_state(self, state):
         """From now on calls fail; those under way stay unanswered until their time is over."""
         self.state = state
 
@@ -160,7 +160,7 @@
         self.holder = RouteHolder()
         self.registry = EndpointRegistry(self.clock, lambda entry: self.left.append(entry.id))
         self.load = LoadTracker(self.clock)
-        self.peers = PeerBook(self.clock)
+        self.peers = PeerTable(self.clock)
         self.crashes = CrashBook(self.clock)
         self.load.peers = self.peers
         self.source = StoreSource(self, settings, fleet)
@@ -192,7 +192,7 @@
         self.source.stop()
         self.frozen = True
 
-    def believes_ready(self):
+    def ready_ids(self):
         return {found.id for found in self.registry.all_ready()}
 
 
--- a/tests/peers/test_peers.py
+++ b/tests/peers/test_peers.py
@@ -8,12 +8,12 @@
 from twisted.internet import defer
 
 from guavacleat.membership.registry import EndpointChange, EndpointRegistry, EndpointState
-from guavacleat.peers import PeerBook, PeerExchange
-from guavacleat.peers.book import RESTART_SECONDS, SILENCE_SECONDS
+from guavacleat.peers import PeerExchange, PeerTable
 from guavacleat.peers.directory import GatewayDirectory
 from guavacleat.peers.exchange import NEWS_SECONDS, REPEAT_SECONDS, RETELL_SECONDS
-from guavacleat.peers.hearing import ConfigurationKnown, EndpointsKnown
 from guavacleat.peers.report import BadReportError, GatewayReport, decode_report, encode_report
+from guavacleat.peers.sync import ConfigurationSyncState, EndpointSyncState
+from guavacleat.peers.table import PEER_TIMEOUT_SECONDS, RESTART_SECONDS
 from guavacleat.placement import EndpointLoad, LoadTracker, Run
 from guavacleat.quarantine import CrashBook
 from guavacleat.store import ConflictError, StoredObject, StoreUnavailableError, WatchBatch
@@ -71,7 +71,7 @@
 
 @pytest.fixture
 def book(clock):
-    return PeerBook(clock)
+    return PeerTable(clock)
 
 
 def test_a_late_report_does_not_replace_a_newer_one(book):
@@ -93,7 +93,7 @@
 
 def test_a_silent_peer_counts_no_more(book, clock):
     book.observe(report())
-    clock.advance(SILENCE_SECONDS + 0.1)
+    clock.advance(PEER_TIMEOUT_SECONDS + 0.1)
     assert book.total("e1").peak_tokens == 0
 
 
@@ -141,11 +141,11 @@
     found = PeerExchange(
         clock,
         GatewayDirectory(clock, store, "g1", ("10.0.0.1", 7200), "dc1"),
-        PeerBook(clock),
+        PeerTable(clock),
         load,
         registry,
-        ConfigurationKnown(clock, lambda: None),
-        EndpointsKnown(clock),
+        ConfigurationSyncState(clock, lambda: None),
+        EndpointSyncState(clock),
         CrashBook(clock),
     )
     found.transport = Datagrams()
@@ -206,7 +206,7 @@
     book.observe(summary("f1", gateways=3, expected=100))
     book.observe(summary("f2", gateways=2, expected=60))
     assert book.total("e1").peak_tokens == 100
-    clock.advance(SILENCE_SECONDS - 0.1)
+    clock.advance(PEER_TIMEOUT_SECONDS - 0.1)
     book.observe(summary("f2", sequence=2, gateways=2, expected=70))
     clock.advance(0.2)
     assert book.total("e1").peak_tokens == 70, "the first one is silent"
@@ -285,16 +285,16 @@
 
 
 def test_a_peer_that_is_being_stopped_is_expected_back_after_its_end(book, clock):
-    assert book.ready_in() is None
+    assert book.seconds_until_ready() is None
     book.observe(GatewayReport("g2", 1, 1, {}, stops_in=4.0))
     clock.advance(3.0)
-    assert book.ready_in() == 1.0 + RESTART_SECONDS
+    assert book.seconds_until_ready() == 1.0 + RESTART_SECONDS
     clock.advance(1.0 + RESTART_SECONDS)
-    assert book.ready_in() == 0.0
-    clock.advance(SILENCE_SECONDS + 0.1)
-    assert book.ready_in() is None, "it did not come back"
+    assert book.seconds_until_ready() == 0.0
+    clock.advance(PEER_TIMEOUT_SECONDS + 0.1)
+    assert book.seconds_until_ready() is None, "it did not come back"
     book.observe(GatewayReport("g3", 1, 1, {}))
-    assert book.ready_in() == 0.0
+    assert book.seconds_until_ready() == 0.0
 
 
 def test_a_change_is_told_as_news_and_then_now_and_then(clock):
--- a/tests/peers/test_hearing.py
+++ b/tests/peers/test_sync.py
@@ -10,14 +10,14 @@
 import pytest
 
 from guavacleat.ingress.sources import STORE_BACKOFF_SECONDS, UNREACHABLE_RETRY_SECONDS
-from guavacleat.peers.hearing import (
-    AUDIT_SECONDS,
+from guavacleat.peers.report import GatewayReport
+from guavacleat.peers.sync import (
     GAP_SECONDS,
-    LISTENERS,
+    RELIST_SECONDS,
     STALE_SECONDS,
-    EndpointsKnown,
+    WATCHERS,
+    EndpointSyncState,
 )
-from guavacleat.peers.report import GatewayReport
 from tests.peers.fleet import Fleet
 
 SETTLE_SECONDS = 6.0
@@ -41,10 +41,10 @@
 
 
 def test_all_gateways_choose_the_same_few_listeners(fleet):
-    assert len(listeners(fleet)) == LISTENERS
+    assert len(listeners(fleet)) == WATCHERS
     for data_centre in ("dc0", "dc1", "dc2"):
         near = [gateway for gateway in listeners(fleet) if gateway.data_centre == data_centre]
-        assert len(near) == LISTENERS // 3
+        assert len(near) == WATCHERS // 3
 
 
 def test_calls_of_the_store_do_not_grow_with_the_gateways():
@@ -107,12 +107,12 @@
     """
     deaf = listeners(fleet)
     for gateway in deaf:
-        gateway.link.cut(state)
+        gateway.link.set_state(state)
     fleet.configure(2)
     fleet.remove_endpoint("e1")
     fleet.pass_time(STALE_SECONDS[1] + 1.0)
     for gateway in fleet.gateways.values():
-        assert "e1" not in gateway.believes_ready(), gateway.instance
+        assert "e1" not in gateway.ready_ids(), gateway.instance
         if gateway not in deaf:
             assert gateway.holder.version == 2, gateway.instance
 
@@ -125,7 +125,7 @@
     """
     *deaf, hearing = fleet.gateways.values()
     for gateway in deaf:
-        gateway.link.cut("refused")
+        gateway.link.set_state("refused")
     fleet.pass_time(SETTLE_SECONDS)
     assert hearing.source.should_watch()
     fleet.set_endpoint("e3", "draining")
@@ -176,8 +176,8 @@
 
 
 def knows(clock, revision):
-    known = EndpointsKnown(clock)
-    known.answered(revision)
+    known = EndpointSyncState(clock)
+    known.record_store_answer(revision)
     return known
 
 
@@ -194,34 +194,34 @@
     Cause: a change is told for a time only; that one was missed shows only by its revision.
     """
     known = knows(clock, 5)
-    known.hear(told(revision=9, since=8))
-    assert known.revision == 5 and not known.must_ask(), "another report may fill it"
+    known.observe_report(told(revision=9, since=8))
+    assert known.revision == 5 and not known.must_query_store(), "another report may fill it"
     clock.advance(GAP_SECONDS + 0.1)
-    assert known.must_ask()
-    known.answered(9)
-    assert not known.must_ask()
+    assert known.must_query_store()
+    known.record_store_answer(9)
+    assert not known.must_query_store()
 
 
 def test_a_gap_that_a_report_fills_needs_no_call(clock):
     known = knows(clock, 5)
-    known.hear(told(revision=9, since=8))
-    known.hear(told(revision=9, since=4))
+    known.observe_report(told(revision=9, since=8))
+    known.observe_report(told(revision=9, since=4))
     clock.advance(GAP_SECONDS + 0.1)
-    assert known.revision == 9 and not known.must_ask()
+    assert known.revision == 9 and not known.must_query_store()
 
 
 def test_what_peers_knew_long_ago_is_not_relied_on(clock):
     known = knows(clock, 5)
     for _ in range(10):
         clock.advance(0.5)
-        known.hear(told(revision=5, since=4, age=clock.seconds()))
-    assert known.must_ask()
+        known.observe_report(told(revision=5, since=4, age=clock.seconds()))
+    assert known.must_query_store()
 
 
 def test_changes_are_complete_since_what_was_known_before_them(clock):
     known = knows(clock, 5)
     clock.advance(2.0)
-    known.answered(8)
+    known.record_store_answer(8)
     clock.advance(0.5)
     assert known.complete_since(1.0) == 5
     clock.advance(1.0)
@@ -230,10 +230,10 @@
 
 def test_what_was_missed_for_good_is_found_by_the_audit(fleet):
     missing = fleet.gateways["g2-5"]
-    missing.registry.hear = lambda change, known_to: None
+    missing.registry.observe_peer_change = lambda change, known_to: None
     fleet.remove_endpoint("e1")
-    fleet.pass_time(AUDIT_SECONDS[1] + 1.0)
-    assert "e1" not in missing.believes_ready()
+    fleet.pass_time(RELIST_SECONDS[1] + 1.0)
+    assert "e1" not in missing.ready_ids()
 
 
 def test_an_endpoint_that_is_gone_does_not_come_back_by_old_reports(fleet):
@@ -241,7 +241,7 @@
     gone_at = fleet.clock.seconds()
     while fleet.clock.seconds() < gone_at + SETTLE_SECONDS:
         fleet.pass_time(0.5)
-        assert all("e1" not in gateway.believes_ready() for gateway in fleet.gateways.values())
+        assert all("e1" not in gateway.ready_ids() for gateway in fleet.gateways.values())
 
 
 @pytest.mark.parametrize("per_data_centre", [4, 12])
@@ -254,7 +254,7 @@
     fleet = Fleet(3, per_data_centre, endpoints=["e1"])
     fleet.pass_time(1.0)
     starting = 4 * len(fleet.gateways)
-    assert fleet.store.calls <= starting + 4 * LISTENERS
+    assert fleet.store.calls <= starting + 4 * WATCHERS
 
 
 def test_few_try_while_the_store_is_away_for_all(fleet):
@@ -264,21 +264,21 @@
     Cause: each tried again as often as a listener does, although those tell when it is back.
     """
     for gateway in fleet.gateways.values():
-        gateway.link.cut("refused")
+        gateway.link.set_state("refused")
     fleet.pass_time(SETTLE_SECONDS)
-    others = len(fleet.gateways) - LISTENERS
-    most = LISTENERS / STORE_BACKOFF_SECONDS + others / UNREACHABLE_RETRY_SECONDS
+    others = len(fleet.gateways) - WATCHERS
+    most = WATCHERS / STORE_BACKOFF_SECONDS + others / UNREACHABLE_RETRY_SECONDS
     assert fleet.calls_in(SETTLE_SECONDS) <= 2 * SETTLE_SECONDS * most
 
 
 def test_what_changed_during_an_outage_is_known_soon_after_it(fleet):
     for gateway in fleet.gateways.values():
-        gateway.link.cut("refused")
+        gateway.link.set_state("refused")
     fleet.pass_time(SETTLE_SECONDS)
     fleet.configure(2)
     fleet.set_endpoint("e3", "draining")
     for gateway in fleet.gateways.values():
-        gateway.link.cut("open")
+        gateway.link.set_state("open")
     fleet.pass_time(CONFIGURATION_SECONDS)
     for gateway in fleet.gateways.values():
         assert gateway.holder.version == 2, gateway.instance
@@ -293,16 +293,16 @@
     Cause: only who had asked in vain knew of the outage, and took what was missing for lapsed.
     """
     for gateway in fleet.gateways.values():
-        gateway.link.cut("silent")
+        gateway.link.set_state("silent")
     fleet.pass_time(2.5)
     fleet.remove_endpoint("e1")
     fleet.pass_time(0.5)
     for gateway in fleet.gateways.values():
-        gateway.link.cut("open")
+        gateway.link.set_state("open")
         gateway.source.endpoints._audit_at = 0.0
     fleet.pass_time(1.5)
     fleet.set_endpoint("e1", "ready")
     fleet.pass_time(SETTLE_SECONDS)
     for gateway in fleet.gateways.values():
         assert "e1" not in gateway.left, gateway.instance
-        assert "e1" in gateway.believes_ready(), gateway.instance
+        assert "e1" in gateway.ready_ids(), gateway.instance
--- a/tests/peers/test_hearing_machine.py
+++ b/tests/peers/test_sync_machine.py
@@ -13,7 +13,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
 
-from guavacleat.peers.hearing import GAP_SECONDS, STALE_SECONDS
+from guavacleat.peers.sync import GAP_SECONDS, STALE_SECONDS
 from tests.conftest import examples
 from tests.peers.fleet import Fleet
 
@@ -56,7 +56,7 @@
     )
     def store_serves(self, names, state):
         for name in names:
-            self.fleet.gateways[name].link.cut(state)
+            self.fleet.gateways[name].link.set_state(state)
 
     @rule()
     def store_forgets(self):
@@ -95,7 +95,7 @@
         for name, gateway in self.fleet.gateways.items():
             if gateway.link.state == "open":
                 assert gateway.holder.version == self.version, name
-                assert gateway.believes_ready() == ready, name
+                assert gateway.ready_ids() == ready, name
 
 
 HearingMachine.TestCase.settings = settings(max_examples=examples(60), stateful_step_count=15)
--- a/tests/placement/test_choice.py
+++ b/tests/placement/test_choice.py
@@ -3,7 +3,7 @@
 import pytest
 
 from guavacleat.membership.registry import EndpointState
-from guavacleat.peers import PeerBook
+from guavacleat.peers import PeerTable
 from guavacleat.peers.report import GatewayReport
 from guavacleat.placement import EndpointLoad, Run
 from guavacleat.placement.choice import (
@@ -57,7 +57,7 @@
     Sequence: a peer runs much on one engine; this gateway runs nothing.
     Cause: an engine's load is that of all gateways.
     """
-    world.load.peers = PeerBook(clock)
+    world.load.peers = PeerTable(clock)
     world.load.peers.observe(GatewayReport("g2", 1, 1, {"e1": EndpointLoad(5, 15000, 6000)}))
     assert place(world) == "e2"
 
--- a/tests/quarantine/crashing_fleet.py
+++ b/tests/quarantine/crashing_fleet.py
@@ -184,7 +184,7 @@
     def kill_gateway(self, instance):
         """End a gateway as a lost instance would."""
         gateway = self.gateways.pop(instance)
-        self.links[instance].cut("silent")
+        self.links[instance].set_state("silent")
         gateway.source.stop()
         gateway.endpoint_poll.stop()
         for port in gateway.ports:
--- a/tests/quarantine/test_book_machine.py
+++ b/tests/quarantine/test_book_machine.py
@@ -9,7 +9,7 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 from twisted.internet.task import Clock
 
-from guavacleat.peers.crashes import FINGERPRINTS_TOLD, CrashNews
+from guavacleat.peers.crashes import MAX_FINGERPRINTS_PER_REPORT, CrashGossip
 from guavacleat.quarantine import CrashBook, StandingKind
 from guavacleat.quarantine.book import COMMON_ENDS, COMMON_SECONDS, ENDS_KEPT, QUARANTINE_SECONDS
 from tests.conftest import examples
@@ -28,7 +28,7 @@
         super().__init__()
         self.clock = Clock()
         self.books = [CrashBook(self.clock) for _ in range(GATEWAYS)]
-        self.news = [CrashNews(self.clock, book) for book in self.books]
+        self.news = [CrashGossip(self.clock, book) for book in self.books]
         self.starts = 0
         self.crashes = 0
         self.crashed_at = []
@@ -86,10 +86,10 @@
 
     @rule(sender=st.integers(0, GATEWAYS - 1), everything=st.booleans())
     def a_gateway_tells(self, sender, everything):
-        message = self.news[sender].message(15.0, True, everything)
+        message = self.news[sender].build_message(15.0, True, everything)
         if message is None:
             return
-        assert sum(len(end.fingerprints) for end in message.ends) <= FINGERPRINTS_TOLD
+        assert sum(len(end.fingerprints) for end in message.ends) <= MAX_FINGERPRINTS_PER_REPORT
         for number, news in enumerate(self.news):
             if number != sender:
                 news.learn(message)
--- a/tests/quarantine/test_crashing_requests.py
+++ b/tests/quarantine/test_crashing_requests.py
@@ -56,7 +56,7 @@
     fleet.kill_gateway("g1")
     fleet.start_gateway("g1", ip, "dc1")
     fleet.network.pass_time(1.0)
-    fleet.links["g1"].cut("silent")
+    fleet.links["g1"].set_state("silent")
     fleet.network.pass_time(4.0)
     assert fleet.gateways["g1"].crashes.convicted()
     assert fleet.crashes <= before + 1
--- a/tests/quarantine/test_record.py
+++ b/tests/quarantine/test_record.py
@@ -67,11 +67,11 @@
 def test_an_outage_delays_the_record(clock, store):
     """Guards against a conviction that is lost because the store was away."""
     book, record = gateway(clock, store)
-    record.store.cut("refused")
+    record.store.set_state("refused")
     convict(book, clock, CRASHER)
     pass_time(clock)
     assert not store.objects
-    record.store.cut("open")
+    record.store.set_state("open")
     pass_time(clock)
     later, _ = gateway(clock, store)
     pass_time(clock)
--- a/tests/restore/test_gateways.py
+++ b/tests/restore/test_gateways.py
@@ -3,7 +3,7 @@
 import pytest
 
 from guavacleat.membership.registry import EndpointState
-from guavacleat.peers.hearing import LISTENERS
+from guavacleat.peers.sync import WATCHERS
 from tests.restore.fleet import RestoredFleet
 
 # Within so long after the store is back every gateway knows what is there.
@@ -31,7 +31,7 @@
 
 
 def beliefs(fleet):
-    return {frozenset(gateway.believes_ready()) for gateway in fleet.gateways.values()}
+    return {frozenset(gateway.ready_ids()) for gateway in fleet.gateways.values()}
 
 
 def test_an_endpoint_that_comes_after_a_restore_is_seen_by_all(fleet):
@@ -102,7 +102,7 @@
     fleet.set_endpoint("e3", "ready")
     fleet.remove_endpoint("e1")
     fleet.pass_time(SEEN_SECONDS)
-    assert deaf.believes_ready() == {"e2", "e3"}
+    assert deaf.ready_ids() == {"e2", "e3"}
 
 
 def test_two_restores_in_a_row(fleet):
@@ -128,7 +128,7 @@
     fleet.pass_time(5.0)
     calm = _calls(fleet, 4.0)
     lose_time(fleet, lambda: None)
-    allowed = CALLS_EACH * len(fleet.gateways) + CALLS_OF_LISTENERS * LISTENERS
+    allowed = CALLS_EACH * len(fleet.gateways) + CALLS_OF_LISTENERS * WATCHERS
     assert _calls(fleet, 4.0) <= calm + allowed
 
 
--- a/tests/restore/test_restore_machine.py
+++ b/tests/restore/test_restore_machine.py
@@ -9,9 +9,9 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
 
-from guavacleat.membership.registry import RETURN_SECONDS
+from guavacleat.membership.registry import REREGISTRATION_SECONDS
 from tests.conftest import examples
-from tests.peers.test_hearing_machine import BOUND_SECONDS
+from tests.peers.test_sync_machine import BOUND_SECONDS
 from tests.restore.fleet import RestoredFleet
 
 ENDPOINTS = ["e1", "e2", "e3"]
@@ -70,9 +70,9 @@
         self.fleet.configure(self.version)
         self.fleet.pass_time(1.0)
         self.fleet.lapse_dead()
-        self.fleet.pass_time(BOUND_SECONDS + RETURN_SECONDS)
+        self.fleet.pass_time(BOUND_SECONDS + REREGISTRATION_SECONDS)
         live = {id for id, state in self.fleet.states_by_id.items() if state == "ready"}
-        beliefs = {name: gateway.believes_ready() for name, gateway in self.fleet.gateways.items()}
+        beliefs = {name: gateway.ready_ids() for name, gateway in self.fleet.gateways.items()}
         assert beliefs == dict.fromkeys(beliefs, live)
         versions = {gateway.holder.version for gateway in self.fleet.gateways.values()}
         assert versions == {self.version}
