--- a/src/guavacleat/admission/generations.py
+++ b/src/guavacleat/admission/generations.py
@@ -16,7 +16,7 @@
 from twisted.internet import defer
 
 from guavacleat.admission.queues import PROMPT_TOKEN_COST, SHORT_OUTPUT, FairQueue
-from guavacleat.forwarding.answers import RefusalError, Verdict
+from guavacleat.forwarding.refusals import RefusalError, RefusalReason
 
 __all__ = ["GenerationQueue"]
 
@@ -127,7 +127,7 @@
         self._push(queue, entry)
         log_message(
             message_type="stream:waits",
-            request=request.facts.id,
+            request=request.metadata.id,
             waiting=len(queue),
             expected=round(expected, 3),
         )
@@ -232,7 +232,7 @@
                 timer.cancel()
 
     def _refusal(self, entry, retry_after: float, word: str, seconds: float) -> RefusalError:
-        return RefusalError(Verdict.NO_ROOM, retry_after, f"{word} to wait {seconds:.2f} s")
+        return RefusalError(RefusalReason.NO_ROOM, retry_after, f"{word} to wait {seconds:.2f} s")
 
 
 def _is_short(entry: _Waiting) -> bool:
--- a/src/guavacleat/forwarding/answer.py
+++ b/src/guavacleat/forwarding/answer.py
@@ -4,7 +4,7 @@
 
 from twisted.internet import defer
 
-from guavacleat.forwarding.messages import AnswerFacts
+from guavacleat.forwarding.messages import ResponseMetadata
 from guavacleat.http1.client import AnswerListener, BreakReason
 from guavacleat.http1.messages import ResponseHead, end_to_end_headers
 from guavacleat.http1.server import CallerExchange
@@ -46,20 +46,20 @@
 }
 
 
-def check_answer(head: ResponseHead, facts: AnswerFacts, request_id: str) -> AnswerCheck:
+def check_answer(head: ResponseHead, metadata: ResponseMetadata, request_id: str) -> AnswerCheck:
     """Tell whether an answer may be passed on to the caller of ``request_id``.
 
     A second answer that an endpoint sent too many, or a late one, can stand where the next
     request's answer is due; its id gives it away. An answer without the endpoint's signature was
     not made by it.
     """
-    if facts.request_id is not None and facts.request_id != request_id:
+    if metadata.request_id is not None and metadata.request_id != request_id:
         return AnswerCheck.FOREIGN
     if head.status == MISDIRECTED:
         return AnswerCheck.WRONG_INCARNATION
-    if facts.not_run:
+    if metadata.not_run:
         return AnswerCheck.NOT_RUN
-    if not facts.sealed or facts.encoded or facts.request_id is None:
+    if not metadata.signed or metadata.encoded or metadata.request_id is None:
         return AnswerCheck.FOREIGN
     return AnswerCheck.GENUINE
 
@@ -95,7 +95,9 @@
 
     def answer_began(self, head):
         self.head = head
-        self.check = check_answer(head, self.wire.answer_facts(head.headers), self.request_id)
+        self.check = check_answer(
+            head, self.wire.parse_response_metadata(head.headers), self.request_id
+        )
         if self.check is AnswerCheck.FOREIGN:
             self._finish(AttemptEnd.BROKEN)
             self.connection.abandon()
--- a/src/guavacleat/forwarding/parts.py
+++ b/src/guavacleat/forwarding/context.py
@@ -1,9 +1,9 @@
-"""The parts of a gateway that forwarding a request uses."""
+"""The context of a gateway that forwarding a request uses."""
 
-__all__ = ["ForwardingParts"]
+__all__ = ["ForwardingContext"]
 
 
-class ForwardingParts:
+class ForwardingContext:
     """Holds one of each; see the classes named.
 
     :param clock: an ``IReactorTime``.
--- a/src/guavacleat/forwarding/handover.py
+++ b/src/guavacleat/forwarding/handover.py
@@ -49,9 +49,9 @@
     async def run(self) -> bool:
         """Return whether the stream goes on at the other engine."""
         session = self.session
-        clock = session.parts.clock
+        clock = session.context.clock
         copy = session.memory.copy
-        session.parts.budget.record_retry(session.request.service)
+        session.context.budget.record_retry(session.request.service)
         timer = clock.callLater(NEXT_EVENT_SECONDS, self.note_event)
         await self._event
         if timer.active():
@@ -77,7 +77,7 @@
             self.note_event()
             return
         self._held.append((leg, event))
-        self.session.parts.clock.callLater(HOLD_SECONDS, self._pass_held)
+        self.session.context.clock.callLater(HOLD_SECONDS, self._pass_held)
 
     def _pass_held(self) -> None:
         if self._held:
--- a/src/guavacleat/forwarding/apart.py
+++ b/src/guavacleat/forwarding/isolation.py
@@ -1,41 +1,41 @@
 """Sending requests that may end the endpoint that runs them."""
 
-from guavacleat.forwarding.answers import RefusalError, Verdict
+from guavacleat.forwarding.refusals import RefusalError, RefusalReason
 from guavacleat.forwarding.request import ForwardedRequest
 from guavacleat.membership.registry import EndpointEntry
 from guavacleat.quarantine import Standing, StandingKind
 
-__all__ = ["check_quarantine", "may_go_on_at", "place_apart"]
+__all__ = ["check_quarantine", "may_resume_at", "place_isolated"]
 
 # Until an endpoint may be quiet on which a request that is refused otherwise can be tried.
 RETRY_AFTER_NOT_QUIET = 1.0
 
 
-def check_quarantine(parts, request: ForwardedRequest) -> Standing:
+def check_quarantine(context, request: ForwardedRequest) -> Standing:
     """The request's standing; raise :class:`RefusalError` if it must not run now."""
-    standing = parts.quarantine.standing(request)
+    standing = context.quarantine.standing(request)
     if standing.kind is StandingKind.REFUSED:
         raise _refusal(standing, standing.retry_after)
     return standing
 
 
-def place_apart(parts, request: ForwardedRequest, tried: set[str]) -> EndpointEntry | None:
+def place_isolated(context, request: ForwardedRequest, tried: set[str]) -> EndpointEntry | None:
     """Where a request runs that must not share an endpoint with many; None if none has room."""
-    standing = check_quarantine(parts, request)
-    entry = parts.placement.least_loaded(request, tried)
-    if entry is not None and standing.convicted and not parts.placement.is_lightly_loaded(entry):
+    standing = check_quarantine(context, request)
+    entry = context.placement.least_loaded(request, tried)
+    if entry is not None and standing.convicted and not context.placement.is_lightly_loaded(entry):
         raise _refusal(standing, RETRY_AFTER_NOT_QUIET)
     return entry
 
 
-def may_go_on_at(parts, request: ForwardedRequest, entry: EndpointEntry) -> bool:
+def may_resume_at(context, request: ForwardedRequest, entry: EndpointEntry) -> bool:
     """Whether a run that broke off may be resumed at ``entry``."""
-    kind = parts.quarantine.standing(request).kind
+    kind = context.quarantine.standing(request).kind
     if kind is StandingKind.APART:
-        return parts.placement.is_lightly_loaded(entry)
+        return context.placement.is_lightly_loaded(entry)
     return kind is StandingKind.FREE
 
 
 def _refusal(standing: Standing, retry_after: float) -> RefusalError:
     detail = f"{standing.crashes:g} endpoints ended under it"
-    return RefusalError(Verdict.QUARANTINED, retry_after, detail)
+    return RefusalError(RefusalReason.QUARANTINED, retry_after, detail)
--- a/src/guavacleat/forwarding/leg.py
+++ b/src/guavacleat/forwarding/leg.py
@@ -78,7 +78,9 @@
 
     def answer_began(self, head):
         self.head = head
-        self.check = check_answer(head, self.wire.answer_facts(head.headers), self.request_id)
+        self.check = check_answer(
+            head, self.wire.parse_response_metadata(head.headers), self.request_id
+        )
         if self.check is AnswerCheck.FOREIGN:
             self._reject()
         elif self.streaming and not self.ended:
--- a/src/guavacleat/forwarding/memory.py
+++ b/src/guavacleat/forwarding/memory.py
@@ -92,7 +92,7 @@
     def begin_run(self, entry: EndpointEntry, resumed: bool) -> Run:
         """Count a run on ``entry``; a resumed one has no prompt to read."""
         unread = 0 if resumed else self.request.prompt_tokens
-        run = Run(self.request.facts.id, self.expected_tokens(), unread)
+        run = Run(self.request.metadata.id, self.expected_tokens(), unread)
         self.load.begin(entry.id, run)
         return run
 
@@ -118,7 +118,7 @@
         self.drop_copy()
         self.copy = copy
         if copy is not None:
-            self._copy_run = Run(f"copy:{self.request.facts.id}", self.expected_tokens())
+            self._copy_run = Run(f"copy:{self.request.metadata.id}", self.expected_tokens())
             self.load.begin(copy.entry.id, self._copy_run)
 
     def drop_copy(self) -> None:
--- a/src/guavacleat/forwarding/messages.py
+++ b/src/guavacleat/forwarding/messages.py
@@ -1,11 +1,11 @@
 """What callers and endpoints tell the gateway, and what the gateway tells them; typed."""
 
 __all__ = [
-    "AnswerFacts",
-    "CallerFacts",
-    "EndpointOrder",
+    "ResponseMetadata",
+    "RequestMetadata",
+    "ForwardingMetadata",
     "EndpointStatus",
-    "MoveAnswer",
+    "MoveResponse",
     "PromptPart",
     "ResumePoint",
 ]
@@ -21,7 +21,7 @@
         self.tokens = tokens
 
 
-class CallerFacts:
+class RequestMetadata:
     """What a caller says of its request.
 
     :param id: the request's id; each of a caller's own retries has another.
@@ -33,7 +33,7 @@
     __slots__ = (
         "id",
         "key",
-        "patience",
+        "caller_timeout",
         "prompt_tokens",
         "max_output_tokens",
         "expected_output_tokens",
@@ -44,7 +44,7 @@
         self,
         id: str,
         key: str = "",
-        patience: float | None = None,
+        caller_timeout: float | None = None,
         prompt_tokens: int = 0,
         max_output_tokens: int = 0,
         expected_output_tokens: float | None = None,
@@ -52,7 +52,7 @@
     ):
         self.id = id
         self.key = key
-        self.patience = patience
+        self.caller_timeout = caller_timeout
         self.prompt_tokens = prompt_tokens
         self.max_output_tokens = max_output_tokens
         self.expected_output_tokens = expected_output_tokens
@@ -70,7 +70,7 @@
         self.last_event = last_event
 
 
-class EndpointOrder:
+class ForwardingMetadata:
     """What the gateway itself tells an endpoint with a request.
 
     :param incarnation: the endpoint's id; any other endpoint at its address must refuse.
@@ -80,7 +80,7 @@
     :param copy_to: address of an engine that shall keep a growing copy of the run.
     """
 
-    __slots__ = ("incarnation", "time_left", "account", "priority", "resume", "copy_to")
+    __slots__ = ("incarnation", "time_left", "account", "priority", "resume", "backup_target")
 
     def __init__(
         self,
@@ -89,17 +89,17 @@
         account: str | None = None,
         priority: int | None = None,
         resume: ResumePoint | None = None,
-        copy_to: tuple[str, int] | None = None,
+        backup_target: tuple[str, int] | None = None,
     ):
         self.incarnation = incarnation
         self.time_left = time_left
         self.account = account
         self.priority = priority
         self.resume = resume
-        self.copy_to = copy_to
+        self.backup_target = backup_target
 
 
-class AnswerFacts:
+class ResponseMetadata:
     """What an endpoint says of its answer.
 
     :param request_id: the request it answers; None if it does not say.
@@ -108,11 +108,11 @@
     :param encoded: true if the body was encoded on the way, so that it is not the endpoint's.
     """
 
-    __slots__ = ("request_id", "sealed", "not_run", "encoded")
+    __slots__ = ("request_id", "signed", "not_run", "encoded")
 
-    def __init__(self, request_id: str | None, sealed: bool, not_run: bool, encoded: bool):
+    def __init__(self, request_id: str | None, signed: bool, not_run: bool, encoded: bool):
         self.request_id = request_id
-        self.sealed = sealed
+        self.signed = signed
         self.not_run = not_run
         self.encoded = encoded
 
@@ -131,7 +131,7 @@
         self.leaves_in = leaves_in
 
 
-class MoveAnswer:
+class MoveResponse:
     """An engine's answer to a call that copies a run.
 
     :param handle: names the copy; None if there is none.
--- a/src/guavacleat/forwarding/native.py
+++ b/src/guavacleat/forwarding/native.py
@@ -6,8 +6,13 @@
 that they did not run the request.
 """
 
-from guavacleat.forwarding.messages import AnswerFacts, CallerFacts, EndpointOrder, MoveAnswer
-from guavacleat.forwarding.numbers import read_number, read_tokens
+from guavacleat.forwarding.messages import (
+    ForwardingMetadata,
+    MoveResponse,
+    RequestMetadata,
+    ResponseMetadata,
+)
+from guavacleat.forwarding.numbers import parse_number, parse_token_count
 from guavacleat.forwarding.wire import Headers, Wire
 
 __all__ = ["NativeWire"]
@@ -28,33 +33,33 @@
 class NativeWire(Wire):
     """See :class:`~guavacleat.forwarding.wire.Wire`; moves between engines are not spoken."""
 
-    def caller_facts(self, headers: Headers) -> CallerFacts:
+    def parse_request_metadata(self, headers: Headers) -> RequestMetadata:
         values = dict(headers)
-        patience = read_number(values.get(DEADLINE))
-        return CallerFacts(
+        caller_timeout = parse_number(values.get(DEADLINE))
+        return RequestMetadata(
             id=values.get(REQUEST_ID, b"").decode("latin-1"),
             key=values.get(KEY, b"").decode("latin-1"),
-            patience=None if patience is None else max(0.0, patience),
-            prompt_tokens=read_tokens(values.get(PROMPT_TOKENS)),
-            max_output_tokens=read_tokens(values.get(MAX_TOKENS)),
+            caller_timeout=None if caller_timeout is None else max(0.0, caller_timeout),
+            prompt_tokens=parse_token_count(values.get(PROMPT_TOKENS)),
+            max_output_tokens=parse_token_count(values.get(MAX_TOKENS)),
         )
 
-    def endpoint_headers(self, headers: Headers, order: EndpointOrder) -> Headers:
+    def endpoint_headers(self, headers: Headers, metadata: ForwardingMetadata) -> Headers:
         kept = [(name, value) for name, value in headers if name not in OWNED]
-        if order.account is not None:
-            kept.append((ACCOUNT, order.account.encode("latin-1")))
-        if order.priority is not None:
-            kept.append((PRIORITY, b"%d" % order.priority))
-        kept.append((ENDPOINT, order.incarnation.encode("latin-1")))
-        kept.append((DEADLINE, b"%.3f" % order.time_left))
+        if metadata.account is not None:
+            kept.append((ACCOUNT, metadata.account.encode("latin-1")))
+        if metadata.priority is not None:
+            kept.append((PRIORITY, b"%d" % metadata.priority))
+        kept.append((ENDPOINT, metadata.incarnation.encode("latin-1")))
+        kept.append((DEADLINE, b"%.3f" % metadata.time_left))
         return kept
 
-    def answer_facts(self, headers: Headers) -> AnswerFacts:
+    def parse_response_metadata(self, headers: Headers) -> ResponseMetadata:
         values = dict(headers)
         id = values.get(REQUEST_ID)
-        return AnswerFacts(
+        return ResponseMetadata(
             request_id=None if id is None else id.decode("latin-1"),
-            sealed=ENDPOINT in values,
+            signed=ENDPOINT in values,
             not_run=NOT_RUN in values,
             encoded=b"content-encoding" in values,
         )
@@ -68,9 +73,9 @@
     def encode_move(self, request_id, target):
         raise NotImplementedError("engines without a platform do not move runs")
 
-    def decode_move(self, status: int, body: bytes) -> MoveAnswer:
+    def decode_move(self, status: int, body: bytes) -> MoveResponse:
         del status, body
-        return MoveAnswer(NO_MOVES, None)
+        return MoveResponse(NO_MOVES, None)
 
     def free_copy_target(self, handle: str) -> bytes:
         raise NotImplementedError("engines without a platform keep no copies")
--- a/src/guavacleat/forwarding/numbers.py
+++ b/src/guavacleat/forwarding/numbers.py
@@ -2,13 +2,13 @@
 
 import math
 
-__all__ = ["MAX_TOKENS", "read_number", "read_tokens"]
+__all__ = ["MAX_TOKENS", "parse_number", "parse_token_count"]
 
 # No engine holds a millionth of this; sums of it still fit a report between gateways.
 MAX_TOKENS = 10**9
 
 
-def read_number(value: bytes | None) -> float | None:
+def parse_number(value: bytes | None) -> float | None:
     """A header's number; None if it is absent or not a finite one."""
     try:
         number = None if value is None else float(value)
@@ -17,6 +17,6 @@
     return number if number is not None and math.isfinite(number) else None
 
 
-def read_tokens(value: bytes | None) -> int:
+def parse_token_count(value: bytes | None) -> int:
     """A count of tokens from 0 to ``MAX_TOKENS``; 0 if the header says none."""
-    return int(min(max(0.0, read_number(value) or 0.0), MAX_TOKENS))
+    return int(min(max(0.0, parse_number(value) or 0.0), MAX_TOKENS))
--- a/src/guavacleat/forwarding/opening.py
+++ b/src/guavacleat/forwarding/opening.py
@@ -2,7 +2,7 @@
 
 from guavacleat.forwarding.leg import Leg, LegEnd
 from guavacleat.forwarding.memory import HeldCopy, StreamMemory
-from guavacleat.forwarding.messages import EndpointOrder, ResumePoint
+from guavacleat.forwarding.messages import ForwardingMetadata, ResumePoint
 from guavacleat.forwarding.request import ForwardedRequest
 from guavacleat.membership.registry import EndpointEntry
 
@@ -16,10 +16,10 @@
     :param log: writes a line with the request's id and the fields given.
     """
 
-    def __init__(self, session, request: ForwardedRequest, parts, memory: StreamMemory, log):
+    def __init__(self, session, request: ForwardedRequest, context, memory: StreamMemory, log):
         self.session = session
         self.request = request
-        self.parts = parts
+        self.context = context
         self.memory = memory
         self.log = log
 
@@ -34,29 +34,29 @@
         """
         run = self.memory.begin_run(entry, resumed=resume is not None)
         try:
-            connection = await self.parts.pool.connect(entry.address)
+            connection = await self.context.pool.connect(entry.address)
         except Exception as exc:  # noqa: BLE001 - no connection: refused, timed out, unreachable
-            self.parts.load.end(entry.id, run)
-            self.parts.load.record_failure(entry.id)
+            self.context.load.end(entry.id, run)
+            self.context.load.record_failure(entry.id)
             self.log("stream:unreachable", endpoint=entry.id, error=repr(exc))
             return None
         if self.session.finished or self.session.time_left() <= 0:
-            self.parts.load.end(entry.id, run)
+            self.context.load.end(entry.id, run)
             connection.abandon()
             return None
         backup = self._place_backup(entry) if protect else None
         self._log_placed(entry, backup, resume)
-        self.parts.quarantine.sent(self.request, entry.id)
-        leg = Leg(entry, self.request.facts.id, self.parts.wire, self.session)
+        self.context.quarantine.sent(self.request, entry.id)
+        leg = Leg(entry, self.request.metadata.id, self.context.wire, self.session)
         leg.connection, leg.run, leg.backup = connection, run, backup
-        leg.began = self.parts.clock.seconds()
+        leg.began = self.context.clock.seconds()
         leg.done.addBoth(self._leg_over, leg)
         self._send(leg, resume)
         return leg
 
     def _send(self, leg: Leg, resume: ResumePoint | None) -> None:
         request = self.request
-        order = EndpointOrder(
+        forwarding_metadata = ForwardingMetadata(
             leg.entry.id,
             self.session.time_left(),
             request.account_name,
@@ -65,19 +65,19 @@
             leg.backup.entry.address if leg.backup else None,
         )
         head = request.exchange.head
-        headers = self.parts.wire.endpoint_headers(request.headers, order)
+        headers = self.context.wire.endpoint_headers(request.headers, forwarding_metadata)
         leg.connection.send(head.method, head.target, headers, request.exchange.body, leg)
 
     def _leg_over(self, end: LegEnd, leg: Leg) -> LegEnd:
-        self.parts.load.end(leg.entry.id, leg.run)
+        self.context.load.end(leg.entry.id, leg.run)
         if end is LegEnd.BROKEN:
             # It may have crashed: for some seconds nothing new goes there, nor a backup.
-            self.parts.load.record_failure(leg.entry.id)
+            self.context.load.record_failure(leg.entry.id)
         if leg.broke_off:
-            self.parts.quarantine.broken(self.request, leg.entry.id, leg.began)
+            self.context.quarantine.broken(self.request, leg.entry.id, leg.began)
         elif end is LegEnd.COMPLETE:
-            self.parts.quarantine.completed(self.request)
-        self.parts.quarantine.over(self.request)
+            self.context.quarantine.completed(self.request)
+        self.context.quarantine.over(self.request)
         return end
 
     def _place_backup(self, entry: EndpointEntry) -> HeldCopy | None:
@@ -85,17 +85,17 @@
         engine = self.request.traits.engine
         if engine is None or not engine.backups or not self.memory.worth_moving():
             return None
-        if not self.parts.quarantine.may_share(self.request):
+        if not self.context.quarantine.may_share(self.request):
             return None
         expected = self.memory.expected_tokens()
-        keeper = self.parts.placement.choose_backup_target(entry, expected, engine)
+        keeper = self.context.placement.choose_backup_target(entry, expected, engine)
         if keeper is None:
             return None
-        return HeldCopy(keeper, keeper, self.request.facts.id, backup=True)
+        return HeldCopy(keeper, keeper, self.request.metadata.id, backup=True)
 
     def _log_placed(self, entry, backup: HeldCopy | None, resume: ResumePoint | None) -> None:
         """What decided where the run goes: the endpoint's load with it, as known here."""
-        load = self.parts.load.total(entry.id)
+        load = self.context.load.total(entry.id)
         self.log(
             "stream:placed",
             endpoint=entry.id,
--- a/src/guavacleat/forwarding/plain.py
+++ b/src/guavacleat/forwarding/plain.py
@@ -8,9 +8,9 @@
 from eliot import log_message
 
 from guavacleat.forwarding.answer import AttemptEnd, CheckedAnswer, pass_head_on
-from guavacleat.forwarding.answers import RefusalError, Verdict
-from guavacleat.forwarding.apart import place_apart
-from guavacleat.forwarding.messages import EndpointOrder
+from guavacleat.forwarding.isolation import place_isolated
+from guavacleat.forwarding.messages import ForwardingMetadata
+from guavacleat.forwarding.refusals import RefusalError, RefusalReason
 from guavacleat.forwarding.request import ForwardedRequest
 from guavacleat.membership.registry import EndpointEntry
 from guavacleat.placement import Run
@@ -21,7 +21,7 @@
 # An idempotent request that has no answer after this many times its latency goal is abandoned
 # and sent elsewhere. Three goals is above the slowest in a hundred of a sound endpoint, which
 # takes about twice the goal, and leaves a second attempt most of the time-out.
-PATIENCE_GOALS = 3.0
+ATTEMPT_TIMEOUT_GOALS = 3.0
 # Sends of one request at most, those included that an endpoint refused to run.
 MAX_SENDS = 4
 RETRY_AFTER_NO_ENDPOINT = 1.0
@@ -31,10 +31,10 @@
 
 
 class PlainForwarder:
-    """Forwards plain requests; ``parts`` is the :class:`~.parts.ForwardingParts` in use."""
+    """Forwards plain requests; ``context`` is the :class:`~.context.ForwardingContext` in use."""
 
-    def __init__(self, parts):
-        self.parts = parts
+    def __init__(self, context):
+        self.context = context
 
     async def forward(self, request: ForwardedRequest) -> None:
         """Answer the caller, or raise :class:`RefusalError`."""
@@ -42,17 +42,17 @@
         for sends in range(MAX_SENDS):
             if sends and not self._may_send_again(request, runs):
                 break
-            if runs and not self.parts.quarantine.may_share(request):
+            if runs and not self.context.quarantine.may_share(request):
                 # It has run: a suspect is not repeated, and can no longer be refused as not run.
                 break
             entry = self._place(request, tried)
             if entry is None and runs == 0 and not tried:
-                raise RefusalError(Verdict.NO_ENDPOINT, RETRY_AFTER_NO_ENDPOINT)
+                raise RefusalError(RefusalReason.NO_ENDPOINT, RETRY_AFTER_NO_ENDPOINT)
             if entry is None:
                 break
             tried.add(entry.id)
             if sends:
-                self.parts.budget.record_retry(request.service)
+                self.context.budget.record_retry(request.service)
             last = self._is_last(request, runs, tried)
             end, answer = await self._attempt(request, entry, last)
             if end in NEVER_RUN:
@@ -66,9 +66,9 @@
         self._give_up(request, runs)
 
     def _place(self, request: ForwardedRequest, tried: set[str]) -> EndpointEntry | None:
-        if self.parts.quarantine.may_share(request):
-            return self.parts.placement.choose_for_call(request.service, tried)
-        return place_apart(self.parts, request, tried)
+        if self.context.quarantine.may_share(request):
+            return self.context.placement.choose_for_call(request.service, tried)
+        return place_isolated(self.context, request, tried)
 
     def _may_send_again(self, request: ForwardedRequest, runs: int) -> bool:
         if runs and request.route.kind is not RequestKind.IDEMPOTENT:
@@ -76,8 +76,8 @@
         return (
             runs < request.route.max_attempts
             and not request.exchange.gone
-            and self.parts.clock.seconds() < request.deadline
-            and self.parts.budget.may_retry(request.service)
+            and self.context.clock.seconds() < request.deadline
+            and self.context.budget.may_retry(request.service)
         )
 
     def _is_last(self, request: ForwardedRequest, runs: int, tried: set[str]) -> bool:
@@ -85,46 +85,46 @@
         return (
             request.route.kind is not RequestKind.IDEMPOTENT
             or runs + 1 >= request.route.max_attempts
-            or not self.parts.budget.may_retry(request.service)
-            or self.parts.placement.choose_for_call(request.service, tried) is None
+            or not self.context.budget.may_retry(request.service)
+            or self.context.placement.choose_for_call(request.service, tried) is None
         )
 
     def _repeat_failure(self, request: ForwardedRequest, answer: CheckedAnswer, runs: int) -> bool:
         """Whether an endpoint's own failure is worth another try elsewhere."""
         if answer.head.status < SERVER_ERROR:
             return False
-        others = self.parts.placement.choose_for_call(request.service, set()) is not None
+        others = self.context.placement.choose_for_call(request.service, set()) is not None
         return others and self._may_send_again(request, runs)
 
     async def _attempt(self, request, entry, last):
         """Send to one endpoint; return its :class:`AttemptEnd` and the answer."""
-        parts = self.parts
-        began = parts.clock.seconds()
-        answer = CheckedAnswer(request.exchange, request.facts.id, parts.wire)
+        context = self.context
+        began = context.clock.seconds()
+        answer = CheckedAnswer(request.exchange, request.metadata.id, context.wire)
         try:
-            connection = await parts.pool.connect(entry.address)
+            connection = await context.pool.connect(entry.address)
         except Exception as exc:  # noqa: BLE001 - no connection: refused, timed out, unreachable
-            parts.load.record_failure(entry.id)
+            context.load.record_failure(entry.id)
             self._log_attempt(request, entry, AttemptEnd.UNREACHABLE, answer, repr(exc))
             return AttemptEnd.UNREACHABLE, answer
-        time_left = request.deadline - parts.clock.seconds()
+        time_left = request.deadline - context.clock.seconds()
         if time_left <= 0 or request.exchange.gone:
             connection.abandon()
             return AttemptEnd.UNREACHABLE, answer
-        patience = time_left
+        attempt_timeout = time_left
         if not last:
-            patience = min(time_left, PATIENCE_GOALS * request.route.latency_goal)
-        parts.quarantine.sent(request, entry.id)
-        end = await self._exchange(request, entry, connection, answer, time_left, patience)
-        latency = parts.clock.seconds() - began
+            attempt_timeout = min(time_left, ATTEMPT_TIMEOUT_GOALS * request.route.latency_goal)
+        context.quarantine.sent(request, entry.id)
+        end = await self._exchange(request, entry, connection, answer, time_left, attempt_timeout)
+        latency = context.clock.seconds() - began
         self._note_health(entry, end, answer, latency)
         self._note_run(request, entry, end, answer, began)
         self._log_attempt(request, entry, end, answer)
         return end, answer
 
-    async def _exchange(self, request, entry, connection, answer, time_left, patience):
-        parts = self.parts
-        order = EndpointOrder(entry.id, time_left, request.account_name)
+    async def _exchange(self, request, entry, connection, answer, time_left, attempt_timeout):
+        context = self.context
+        forwarding_metadata = ForwardingMetadata(entry.id, time_left, request.account_name)
         answer.connection = connection
         timed_out = []
 
@@ -133,16 +133,16 @@
             connection.abandon()
 
         request.exchange.on_gone = connection.abandon
-        timer = parts.clock.callLater(patience, time_up)
-        run = Run(request.facts.id)
-        parts.load.begin(entry.id, run)
+        timer = context.clock.callLater(attempt_timeout, time_up)
+        run = Run(request.metadata.id)
+        context.load.begin(entry.id, run)
         try:
             head = request.exchange.head
-            headers = parts.wire.endpoint_headers(request.headers, order)
+            headers = context.wire.endpoint_headers(request.headers, forwarding_metadata)
             connection.send(head.method, head.target, headers, request.exchange.body, answer)
             end = await answer.done
         finally:
-            parts.load.end(entry.id, run)
+            context.load.end(entry.id, run)
             request.exchange.on_gone = None
             if timer.active():
                 timer.cancel()
@@ -150,15 +150,15 @@
 
     def _note_health(self, entry, end, answer, latency) -> None:
         if end is AttemptEnd.WRONG_INCARNATION:
-            self.parts.registry.remove_stale(entry.id)
+            self.context.registry.remove_stale(entry.id)
         elif end is AttemptEnd.ANSWERED and answer.head.status < SERVER_ERROR:
-            self.parts.load.record_success(entry.id, latency)
+            self.context.load.record_success(entry.id, latency)
         elif end is not AttemptEnd.PASSED_ON:
-            self.parts.load.record_failure(entry.id)
+            self.context.load.record_failure(entry.id)
 
     def _note_run(self, request, entry, end, answer, began: float) -> None:
         """Tell whether the endpoint survived the request."""
-        quarantine = self.parts.quarantine
+        quarantine = self.context.quarantine
         if answer.broke_off:
             quarantine.broken(request, entry.id, began)
         elif end is AttemptEnd.ANSWERED or (
@@ -177,10 +177,10 @@
 
     def _give_up(self, request: ForwardedRequest, runs: int) -> None:
         if runs == 0:
-            raise RefusalError(Verdict.NO_ROOM, RETRY_AFTER_NO_ROOM)
-        if self.parts.clock.seconds() >= request.deadline:
-            raise RefusalError(Verdict.EXPIRED)
-        raise RefusalError(Verdict.BROKEN)
+            raise RefusalError(RefusalReason.NO_ROOM, RETRY_AFTER_NO_ROOM)
+        if self.context.clock.seconds() >= request.deadline:
+            raise RefusalError(RefusalReason.EXPIRED)
+        raise RefusalError(RefusalReason.BROKEN)
 
     def _log_attempt(self, request, entry, end: AttemptEnd, answer, detail=None) -> None:
         status = answer.head.status if end is AttemptEnd.ANSWERED else None
@@ -188,10 +188,10 @@
             return
         log_message(
             message_type="request:attempt",
-            request=request.facts.id,
+            request=request.metadata.id,
             endpoint=entry.id,
             end=end.value,
             status=status,
             detail=detail,
-            left=round(request.deadline - self.parts.clock.seconds(), 3),
+            left=round(request.deadline - self.context.clock.seconds(), 3),
         )
--- a/src/guavacleat/forwarding/answers.py
+++ b/src/guavacleat/forwarding/refusals.py
@@ -2,10 +2,10 @@
 
 import enum
 
-__all__ = ["RefusalError", "Verdict"]
+__all__ = ["RefusalError", "RefusalReason"]
 
 
-class Verdict(enum.Enum):
+class RefusalReason(enum.Enum):
     """Why the gateway answers itself; the value is the status.
 
     429 and 503 promise that the request has not run and never will; 502 and 504 promise nothing.
@@ -34,8 +34,8 @@
     :param retry_after: seconds after which a request that has not run may come back.
     """
 
-    def __init__(self, verdict: Verdict, retry_after: float | None = None, detail: str = ""):
-        super().__init__(verdict.name, detail)
-        self.verdict = verdict
+    def __init__(self, reason: RefusalReason, retry_after: float | None = None, detail: str = ""):
+        super().__init__(reason.name, detail)
+        self.reason = reason
         self.retry_after = retry_after
         self.detail = detail
--- a/src/guavacleat/forwarding/request.py
+++ b/src/guavacleat/forwarding/request.py
@@ -1,6 +1,6 @@
 """A caller's request after it was matched: who asks, for what, until when."""
 
-from guavacleat.forwarding.messages import CallerFacts
+from guavacleat.forwarding.messages import RequestMetadata
 from guavacleat.http1.server import CallerExchange
 from guavacleat.lengths import LengthForecast
 from guavacleat.quarantine import fingerprint
@@ -22,7 +22,7 @@
 
     __slots__ = (
         "exchange",
-        "facts",
+        "metadata",
         "route",
         "account",
         "service",
@@ -38,7 +38,7 @@
     def __init__(
         self,
         exchange: CallerExchange,
-        facts: CallerFacts,
+        metadata: RequestMetadata,
         route: Route,
         account: Account | None,
         service: str,
@@ -49,17 +49,17 @@
         forecast: LengthForecast | None = None,
     ):
         self.exchange = exchange
-        self.facts = facts
+        self.metadata = metadata
         self.route = route
         self.account = account
         self.service = service
         self.traits = traits
         self.version = version
         self.arrived = arrived
-        patience = route.timeout if facts.patience is None else facts.patience
-        self.deadline = arrived + min(patience, route.timeout)
+        time_limit = route.timeout if metadata.caller_timeout is None else metadata.time_limit
+        self.deadline = arrived + min(time_limit, route.timeout)
         self.headers = headers
-        self.forecast = forecast or LengthForecast(facts.max_output_tokens or UNKNOWN_LENGTH)
+        self.forecast = forecast or LengthForecast(metadata.max_output_tokens or UNKNOWN_LENGTH)
         self._content_key: int | None = None
 
     @property
@@ -89,10 +89,10 @@
 
     @property
     def prompt_tokens(self) -> int:
-        return self.facts.prompt_tokens
+        return self.metadata.prompt_tokens
 
     def expected_tokens(self, emitted: int = 0) -> int:
         """Memory that the run will hold at its end, once it has produced ``emitted`` tokens."""
-        output = self.forecast.expected_length(emitted, self.facts.expected_output_tokens)
-        most = max(emitted, self.facts.max_output_tokens or output)
+        output = self.forecast.expected_length(emitted, self.metadata.expected_output_tokens)
+        most = max(emitted, self.metadata.max_output_tokens or output)
         return self.prompt_tokens + min(output, most)
--- a/src/guavacleat/forwarding/session.py
+++ b/src/guavacleat/forwarding/session.py
@@ -9,16 +9,16 @@
 from twisted.internet import defer
 
 from guavacleat.forwarding.answer import pass_head_on
-from guavacleat.forwarding.answers import RefusalError, Verdict
-from guavacleat.forwarding.apart import check_quarantine, may_go_on_at, place_apart
 from guavacleat.forwarding.copies import free_copy
 from guavacleat.forwarding.handover import Handover
+from guavacleat.forwarding.isolation import check_quarantine, may_resume_at, place_isolated
 from guavacleat.forwarding.leg import Leg, LegEnd
 from guavacleat.forwarding.memory import StreamMemory
 from guavacleat.forwarding.messages import ResumePoint
 from guavacleat.forwarding.opening import LegOpener
+from guavacleat.forwarding.refusals import RefusalError, RefusalReason
 from guavacleat.forwarding.request import ForwardedRequest
-from guavacleat.forwarding.times import StreamTimes
+from guavacleat.forwarding.timings import StreamTimings
 from guavacleat.membership.registry import EndpointEntry
 
 __all__ = ["StreamSession"]
@@ -31,22 +31,22 @@
 
 
 class StreamSession:
-    """Runs one stream; ``parts`` as for plain requests.
+    """Runs one stream; ``context`` as for plain requests.
 
     :param sessions: set that holds the session while it runs.
     """
 
-    def __init__(self, request: ForwardedRequest, parts, sessions: set):
+    def __init__(self, request: ForwardedRequest, context, sessions: set):
         self.request = request
-        self.parts = parts
+        self.context = context
         self.sessions = sessions
         self.leg: Leg | None = None
         self.last_event: int | None = None
         self.moves = 0
-        self.times = StreamTimes(request.arrived)
-        self.memory = StreamMemory(request, parts.load)
+        self.times = StreamTimings(request.arrived)
+        self.memory = StreamMemory(request, context.load)
         self.handover: Handover | None = None
-        self.opener = LegOpener(self, request, parts, self.memory, self._log)
+        self.opener = LegOpener(self, request, context, self.memory, self._log)
         # While the request waits for an engine that has room.
         self.placing: defer.Deferred | None = None
         self.cancelled = False
@@ -68,7 +68,7 @@
         exchange = self.request.exchange
         exchange.on_gone = self.cancel
         exchange.source = self
-        timer = self.parts.clock.callLater(self.time_left(), self._time_up)
+        timer = self.context.clock.callLater(self.time_left(), self._time_up)
         self.sessions.add(self)
         try:
             await self._run()
@@ -91,7 +91,7 @@
         ended_well = self.request.exchange.ended and not self.cut and not self.cancelled
         self.memory.drop_copy()
         if copy is not None and not (copy.backup and ended_well):
-            freeing = free_copy(self.parts, copy.source.address, copy.handle)
+            freeing = free_copy(self.context, copy.source.address, copy.handle)
             defer.Deferred.fromCoroutine(freeing).addErrback(self._note_error)
 
     def _note_error(self, failure) -> None:
@@ -121,14 +121,14 @@
         """Send to endpoints until one runs it; return how that leg ended."""
         request, tried = self.request, set()
         for sends in range(MAX_SENDS):
-            if sends and not self.parts.budget.may_retry(request.service):
+            if sends and not self.context.budget.may_retry(request.service):
                 break
             entry = await self._place(tried)
             if entry is None:
                 break
             tried.add(entry.id)
             if sends:
-                self.parts.budget.record_retry(request.service)
+                self.context.budget.record_retry(request.service)
             if not await self._send(entry, None):
                 continue
             end = await self._leg_end()
@@ -138,25 +138,25 @@
             if self.cancelled or self.time_left() <= 0:
                 break
         if not tried:
-            raise RefusalError(Verdict.NO_ENDPOINT, RETRY_AFTER_NO_ENDPOINT)
-        raise RefusalError(Verdict.NO_ROOM, RETRY_AFTER_NO_ROOM)
+            raise RefusalError(RefusalReason.NO_ENDPOINT, RETRY_AFTER_NO_ENDPOINT)
+        raise RefusalError(RefusalReason.NO_ROOM, RETRY_AFTER_NO_ROOM)
 
     async def _place(self, tried: set[str]) -> EndpointEntry | None:
         """The endpoint to send to; None if there is none, or the caller left meanwhile."""
         request = self.request
-        if not self.parts.quarantine.may_share(request):
-            entry = place_apart(self.parts, request, tried)
+        if not self.context.quarantine.may_share(request):
+            entry = place_isolated(self.context, request, tried)
             if entry is not None or request.traits.engine is None:
                 return entry
         if request.traits.engine is None:
-            return self.parts.placement.choose_for_call(request.service, tried)
-        self.placing = self.parts.queue.acquire(request, tried)
+            return self.context.placement.choose_for_call(request.service, tried)
+        self.placing = self.context.queue.acquire(request, tried)
         try:
             entry = await self.placing
         finally:
             self.placing = None
         # What became known while it waited counts too.
-        check_quarantine(self.parts, request)
+        check_quarantine(self.context, request)
         return entry
 
     async def _send(self, entry: EndpointEntry, resume: ResumePoint | None) -> bool:
@@ -176,7 +176,7 @@
         """Go on where the copy is, though the present engine still runs; return whether it does."""
         if self.handover is not None or self.memory.copy is None or self.last_event is None:
             return False
-        if not self.parts.quarantine.may_share(self.request):
+        if not self.context.quarantine.may_share(self.request):
             return False
         self.handover = Handover(self)
         try:
@@ -222,7 +222,7 @@
                 return
             self.last_event = event.id
             self.memory.note_event()
-        self.times.event(self.parts.clock.seconds(), event.id)
+        self.times.event(self.context.clock.seconds(), event.id)
         self.request.exchange.write(event.data)
 
     async def _go_on(self) -> bool:
@@ -237,10 +237,10 @@
         self.memory.drop_copy()
         if copy is None or self.last_event is None or self.finished:
             return False
-        if not may_go_on_at(self.parts, self.request, copy.entry):
+        if not may_resume_at(self.context, self.request, copy.entry):
             self._log("stream:not-resumed", endpoint=copy.entry.id)
             return False
-        self.parts.budget.record_retry(self.request.service)
+        self.context.budget.record_retry(self.request.service)
         point = ResumePoint(copy.source.address, copy.handle, self.last_event)
         self.moves += 1
         self._log("stream:resumed", endpoint=copy.entry.id, source=copy.source.id)
@@ -249,7 +249,7 @@
     def _note_refused(self, entry: EndpointEntry, end: LegEnd) -> None:
         self._log("stream:refused", endpoint=entry.id, end=end.value)
         if end is LegEnd.WRONG_INCARNATION:
-            self.parts.registry.remove_stale(entry.id)
+            self.context.registry.remove_stale(entry.id)
 
     def _pass_failure_on(self) -> None:
         exchange = self.request.exchange
@@ -263,7 +263,7 @@
         if self.finished:
             return
         if not self.request.exchange.began:
-            raise RefusalError(Verdict.BROKEN)
+            raise RefusalError(RefusalReason.BROKEN)
         self._cut()
 
     def _cut(self) -> None:
@@ -277,8 +277,8 @@
         if self.request.exchange.began:
             self._cut()
         else:
-            headers = self.parts.wire.refusal_headers(self.request.facts.id, None)
-            self.request.exchange.answer(Verdict.EXPIRED.status, headers, b"")
+            headers = self.context.wire.refusal_headers(self.request.metadata.id, None)
+            self.request.exchange.answer(RefusalReason.EXPIRED.status, headers, b"")
         self.cancel()
 
     def cancel(self) -> None:
@@ -318,12 +318,12 @@
 
     def time_left(self) -> float:
         """Seconds until the answer is of no more use."""
-        return self.request.deadline - self.parts.clock.seconds()
+        return self.request.deadline - self.context.clock.seconds()
 
     def _log(self, message_type: str, **fields) -> None:
         log_message(
             message_type=message_type,
-            request=self.request.facts.id,
+            request=self.request.metadata.id,
             last_event=self.last_event,
             left=round(self.time_left(), 3),
             **fields,
--- a/src/guavacleat/forwarding/times.py
+++ b/src/guavacleat/forwarding/timings.py
@@ -1,6 +1,6 @@
 """When the caller of a stream got its events."""
 
-__all__ = ["Pace", "StreamTimes"]
+__all__ = ["GenerationSpeed", "StreamTimings"]
 
 
 # Weight of the newest stream in the moving average.
@@ -9,7 +9,7 @@
 FIRST_GUESS_SECONDS_PER_TOKEN = 0.01
 
 
-class Pace:
+class GenerationSpeed:
     """How fast engines generate, learnt from the streams that ended here."""
 
     __slots__ = ("seconds_per_token",)
@@ -17,7 +17,7 @@
     def __init__(self):
         self.seconds_per_token = FIRST_GUESS_SECONDS_PER_TOKEN
 
-    def learn(self, times: "StreamTimes", tokens: int) -> None:
+    def observe(self, times: "StreamTimings", tokens: int) -> None:
         """A stream of ``tokens`` output tokens ended."""
         if times.first is None or tokens <= 0:
             return
@@ -29,7 +29,7 @@
         return tokens * self.seconds_per_token
 
 
-class StreamTimes:
+class StreamTimings:
     """When a caller got its events; seconds.
 
     :param first: from the request's arrival to its first event; None before it.
--- a/src/guavacleat/forwarding/wire.py
+++ b/src/guavacleat/forwarding/wire.py
@@ -1,11 +1,11 @@
 """What the forwarding needs to know of the names on the wire; an adapter implements it."""
 
 from guavacleat.forwarding.messages import (
-    AnswerFacts,
-    CallerFacts,
-    EndpointOrder,
     EndpointStatus,
-    MoveAnswer,
+    ForwardingMetadata,
+    MoveResponse,
+    RequestMetadata,
+    ResponseMetadata,
 )
 
 __all__ = ["Headers", "Wire"]
@@ -16,14 +16,14 @@
 class Wire:
     """Translates between headers and bodies on the wire and the product's types."""
 
-    def caller_facts(self, headers: Headers) -> CallerFacts:
+    def parse_request_metadata(self, headers: Headers) -> RequestMetadata:
         raise NotImplementedError
 
-    def endpoint_headers(self, headers: Headers, order: EndpointOrder) -> Headers:
+    def endpoint_headers(self, headers: Headers, metadata: ForwardingMetadata) -> Headers:
         """The caller's headers as an endpoint gets them, with what the gateway adds."""
         raise NotImplementedError
 
-    def answer_facts(self, headers: Headers) -> AnswerFacts:
+    def parse_response_metadata(self, headers: Headers) -> ResponseMetadata:
         raise NotImplementedError
 
     def refusal_headers(self, request_id: str, retry_after: float | None) -> Headers:
@@ -36,10 +36,10 @@
         """Method, target, headers and body of the call that copies a run to ``target``."""
         raise NotImplementedError
 
-    def decode_move(self, status: int, body: bytes) -> MoveAnswer:
+    def decode_move(self, status: int, body: bytes) -> MoveResponse:
         raise NotImplementedError
 
-    def encode_status_question(self) -> tuple[bytes, bytes]:
+    def encode_status_request(self) -> tuple[bytes, bytes]:
         """Method and target of the call that asks an endpoint for its state."""
         raise NotImplementedError
 
--- a/src/guavacleat/ingress/dispatch.py
+++ b/src/guavacleat/ingress/dispatch.py
@@ -5,12 +5,12 @@
 from eliot import log_message
 from twisted.internet import defer
 
-from guavacleat.forwarding.answers import RefusalError, Verdict
-from guavacleat.forwarding.apart import check_quarantine
+from guavacleat.forwarding.isolation import check_quarantine
 from guavacleat.forwarding.plain import PlainForwarder
+from guavacleat.forwarding.refusals import RefusalError, RefusalReason
 from guavacleat.forwarding.request import ForwardedRequest
 from guavacleat.forwarding.session import StreamSession
-from guavacleat.forwarding.times import Pace
+from guavacleat.forwarding.timings import GenerationSpeed
 from guavacleat.http1.messages import end_to_end_headers
 from guavacleat.http1.server import CallerExchange
 from guavacleat.lengths import LengthForecast
@@ -38,31 +38,31 @@
     """Handles each caller's request.
 
     :param holder: the :class:`~guavacleat.routes.holder.RouteHolder`.
-    :param parts: the :class:`~guavacleat.forwarding.parts.ForwardingParts`.
+    :param context: the :class:`~guavacleat.forwarding.context.ForwardingContext`.
     :param held_bytes_bound: bytes of request bodies that may be held at a time.
     :param peers: the :class:`~guavacleat.peers.PeerTable`.
     """
 
-    def __init__(self, holder, parts, metrics, held_bytes_bound: int, peers, seed=None):
+    def __init__(self, holder, context, metrics, held_bytes_bound: int, peers, seed=None):
         self.holder = holder
-        self.parts = parts
+        self.context = context
         self.metrics = metrics
         self.held_bytes_bound = held_bytes_bound
         self.peers = peers
         self.held_bytes = 0
         self.in_flight = 0
-        self.pace = Pace()
+        self.generation_speed = GenerationSpeed()
         # The routes used last come last.
         self.forecasts_by_route: dict[str, LengthForecast] = {}
         self._began_stopping: float | None = None
         self._stops_at: float | None = None
         self.sessions: set[StreamSession] = set()
-        self.plain = PlainForwarder(parts)
+        self.plain = PlainForwarder(context)
         self.random = random.Random(seed)
 
     def stop_at(self, stops_at: float) -> None:
         """The process will end at this clock time, whatever runs then."""
-        self._began_stopping = self.parts.clock.seconds()
+        self._began_stopping = self.context.clock.seconds()
         self._stops_at = stops_at
 
     def handle(self, exchange: CallerExchange) -> None:
@@ -70,14 +70,14 @@
         defer.Deferred.fromCoroutine(self._handle(exchange)).addErrback(self._unforeseen, exchange)
 
     async def _handle(self, exchange: CallerExchange) -> None:
-        arrived = self.parts.clock.seconds()
+        arrived = self.context.clock.seconds()
         size = len(exchange.body)
         self.held_bytes += size
         self.in_flight += 1
         request = None
         try:
             request = self._match(exchange, arrived)
-            check_quarantine(self.parts, request)
+            check_quarantine(self.context, request)
             self._check_time_to_stop(request)
             await self._forward(request)
             self._log_end(request, exchange, arrived, None)
@@ -89,9 +89,9 @@
             self.in_flight -= 1
 
     async def _forward(self, request: ForwardedRequest) -> None:
-        self.parts.budget.record_request(request.service)
+        self.context.budget.record_request(request.service)
         if request.route.kind is RequestKind.STREAM:
-            session = StreamSession(request, self.parts, self.sessions)
+            session = StreamSession(request, self.context, self.sessions)
             await session.run()
             self._learn(session)
         else:
@@ -100,17 +100,17 @@
     def _learn(self, session: StreamSession) -> None:
         """Take in how fast and how long a stream ran."""
         request, output = session.request, session.memory.output_tokens
-        self.pace.learn(session.times, output)
+        self.generation_speed.observe(session.times, output)
         if session.completed and request.traits.engine is not None:
-            request.forecast.record_finished(output, request.facts.expected_output_tokens)
+            request.forecast.record_finished(output, request.metadata.expected_output_tokens)
 
-    def _forecast(self, route: Route, facts) -> LengthForecast | None:
+    def _forecast(self, route: Route, metadata) -> LengthForecast | None:
         """What is known of the lengths of the route's generations; None off streams."""
-        if route.kind is not RequestKind.STREAM or not facts.max_output_tokens:
+        if route.kind is not RequestKind.STREAM or not metadata.max_output_tokens:
             return None
         forecast = self.forecasts_by_route.pop(route.name, None)
         if forecast is None:
-            forecast = LengthForecast(facts.max_output_tokens)
+            forecast = LengthForecast(metadata.max_output_tokens)
             if len(self.forecasts_by_route) >= FORECASTS_KEPT:
                 del self.forecasts_by_route[next(iter(self.forecasts_by_route))]
         self.forecasts_by_route[route.name] = forecast
@@ -125,14 +125,14 @@
         """
         if self._stops_at is None:
             return
-        now = self.parts.clock.seconds()
+        now = self.context.clock.seconds()
         needed = request.deadline - now
         early = now - self._began_stopping <= LAST_STREAM_SECONDS
         if early and request.route.kind is RequestKind.STREAM:
             output = request.expected_tokens() - request.prompt_tokens
-            needed = request.route.latency_goal + self.pace.seconds(output)
+            needed = request.route.latency_goal + self.generation_speed.seconds(output)
         if needed > self._stops_at - now:
-            raise RefusalError(Verdict.STOPPING, self._retry_after_stop(now))
+            raise RefusalError(RefusalReason.STOPPING, self._retry_after_stop(now))
 
     def _retry_after_stop(self, now: float) -> float:
         """Seconds until a gateway is there that is not being stopped.
@@ -148,22 +148,22 @@
         """Find the route and the account, or raise :class:`RefusalError`."""
         table = self.holder.table
         if table is None:
-            raise RefusalError(Verdict.NO_CONFIGURATION, RETRY_AFTER_NO_CONFIGURATION)
+            raise RefusalError(RefusalReason.NO_CONFIGURATION, RETRY_AFTER_NO_CONFIGURATION)
         if self.held_bytes > self.held_bytes_bound:
-            raise RefusalError(Verdict.NO_MEMORY, RETRY_AFTER_NO_MEMORY)
+            raise RefusalError(RefusalReason.NO_MEMORY, RETRY_AFTER_NO_MEMORY)
         route = table.match(_host_name(exchange.head.host), exchange.head.path)
         if route is None:
-            raise self._not_allowed(Verdict.UNKNOWN_ROUTE, table)
+            raise self._not_allowed(RefusalReason.UNKNOWN_ROUTE, table)
         headers = end_to_end_headers(exchange.head.headers)
-        facts = self.parts.wire.caller_facts(headers)
-        account = self._account(table, route, facts.key)
+        metadata = self.context.wire.parse_request_metadata(headers)
+        account = self._account(table, route, metadata.key)
         service = route.pick_service(self.random)
         traits = table.services_by_name.get(service)
         if traits is None:
             traits = ServiceTraits(service, UNKNOWN_SERVICE_CONNECTIONS)
         return ForwardedRequest(
             exchange,
-            facts,
+            metadata,
             route,
             account,
             service,
@@ -171,7 +171,7 @@
             table.version,
             arrived,
             headers,
-            self._forecast(route, facts),
+            self._forecast(route, metadata),
         )
 
     def _account(self, table: RouteTable, route: Route, key: str) -> Account | None:
@@ -180,10 +180,10 @@
             return None
         account = table.accounts_by_key.get(key)
         if account is None:
-            raise self._not_allowed(Verdict.UNKNOWN_KEY, table)
+            raise self._not_allowed(RefusalReason.UNKNOWN_KEY, table)
         return account
 
-    def _not_allowed(self, verdict: Verdict, table: RouteTable) -> RefusalError:
+    def _not_allowed(self, reason: RefusalReason, table: RouteTable) -> RefusalError:
         """The refusal of what ``table`` does not allow.
 
         A version takes seconds to reach a gateway on a thin link, and longer one that is cut off
@@ -194,18 +194,18 @@
         newest = self.peers.newest_configuration()
         if newest is not None and newest > table.version:
             detail = f"version {newest} is in force elsewhere"
-            return RefusalError(Verdict.BEHIND, RETRY_AFTER_BEHIND, detail)
-        return RefusalError(verdict)
+            return RefusalError(RefusalReason.BEHIND, RETRY_AFTER_BEHIND, detail)
+        return RefusalError(reason)
 
     def _refuse(self, exchange: CallerExchange, refusal: RefusalError) -> None:
         if exchange.gone or exchange.began:
             return
-        headers = self.parts.wire.refusal_headers(self._request_id(exchange), refusal.retry_after)
-        exchange.answer(refusal.verdict.status, headers, b"")
+        headers = self.context.wire.refusal_headers(self._request_id(exchange), refusal.retry_after)
+        exchange.answer(refusal.reason.status, headers, b"")
 
     def _request_id(self, exchange: CallerExchange) -> str:
         """The id that the caller gave, also of a request that no route or account was found for."""
-        return self.parts.wire.caller_facts(exchange.head.headers).id
+        return self.context.wire.parse_request_metadata(exchange.head.headers).id
 
     def _unforeseen(self, failure, exchange: CallerExchange) -> None:
         """An error of our own: the request may have run, so its answer must promise nothing."""
@@ -215,15 +215,15 @@
         if exchange.began:
             exchange.cut()
         else:
-            exchange.answer(Verdict.BROKEN.status, [], b"")
+            exchange.answer(RefusalReason.BROKEN.status, [], b"")
 
     def _log_end(self, request, exchange, arrived: float, refusal: RefusalError | None) -> None:
-        seconds = self.parts.clock.seconds() - arrived
-        outcome = refusal.verdict.name if refusal else _outcome(exchange)
+        seconds = self.context.clock.seconds() - arrived
+        outcome = refusal.reason.name if refusal else _outcome(exchange)
         self.metrics.ended(request, outcome, seconds)
         log_message(
             message_type="request:end",
-            request=request.facts.id if request else self._request_id(exchange),
+            request=request.metadata.id if request else self._request_id(exchange),
             route=request.route.name if request else exchange.head.target.decode("latin-1"),
             account=request.account_name if request else None,
             config=self.holder.version,
--- a/src/guavacleat/ingress/service.py
+++ b/src/guavacleat/ingress/service.py
@@ -5,7 +5,7 @@
 
 from guavacleat.admission.generations import GenerationQueue
 from guavacleat.errors import SettingsError
-from guavacleat.forwarding.parts import ForwardingParts
+from guavacleat.forwarding.context import ForwardingContext
 from guavacleat.forwarding.wire import Wire
 from guavacleat.http1.pool import ConnectionPool
 from guavacleat.http1.server import CallerExchange, CallerListener
@@ -81,7 +81,7 @@
         queue = GenerationQueue(reactor, placement)
         self.load.listeners.append(queue.schedule_dispatch)
         self.peers.on_report = queue.schedule_dispatch
-        parts = ForwardingParts(
+        context = ForwardingContext(
             clock=reactor,
             pool=self.pool,
             wire=wire,
@@ -92,10 +92,10 @@
             queue=queue,
             quarantine=quarantine,
         )
-        self.parts = parts
+        self.context = context
         bodies = int(settings.limits.memory_bytes * BODIES_SHARE)
-        self.dispatch = Dispatch(self.holder, parts, self.metrics, bodies, self.peers)
-        self.evacuator = Evacuator(parts, self.dispatch.sessions)
+        self.dispatch = Dispatch(self.holder, context, self.metrics, bodies, self.peers)
+        self.evacuator = Evacuator(context, self.dispatch.sessions)
         self.endpoint_poll = EndpointStatusPoller(
             reactor,
             self.pool,
@@ -111,16 +111,16 @@
 
     def _endpoint_leaving(self, entry) -> None:
         announced = entry.state is EndpointState.DRAINING
-        self.parts.quarantine.left(entry.id, announced)
+        self.context.quarantine.left(entry.id, announced)
         self.load.forget(entry.id)
         self.pool.drop(entry.address)
-        self.evacuator.leaving(entry)
+        self.evacuator.endpoint_leaving(entry)
 
     def _endpoint_restarted(self, former) -> None:
-        self.parts.quarantine.left(former.id, announced=False)
+        self.context.quarantine.left(former.id, announced=False)
         self.load.forget(former.id)
         self.pool.drop(former.address)
-        self.evacuator.restarted(former)
+        self.evacuator.endpoint_restarted(former)
 
     def _caller_limits(self) -> CallerLimits:
         table = self.holder.table
@@ -178,7 +178,7 @@
     def reload(self, settings: ProcessSettings) -> None:
         """Take in changed settings: the bounds; addresses stay until the next start."""
         self.settings = settings
-        self.parts.budget.bounds = settings.bounds
+        self.context.budget.bounds = settings.bounds
         log_message(message_type="process:reloaded", instance=settings.instance)
 
     def settings_refused(self, error: SettingsError) -> None:
--- a/src/guavacleat/membership/status_poll.py
+++ b/src/guavacleat/membership/status_poll.py
@@ -102,7 +102,7 @@
 
     async def _ask(self, entry: EndpointEntry) -> None:
         self._asked.add(entry.id)
-        method, target = self.wire.encode_status_question()
+        method, target = self.wire.encode_status_request()
         try:
             answer = await call(
                 self.clock, self.pool, entry.address, method, target, [], b"", ANSWER_SECONDS
--- a/src/guavacleat/migration/evacuation.py
+++ b/src/guavacleat/migration/evacuation.py
@@ -14,7 +14,7 @@
 
 from guavacleat.forwarding.copies import free_copy
 from guavacleat.forwarding.memory import HeldCopy
-from guavacleat.forwarding.messages import MoveAnswer
+from guavacleat.forwarding.messages import MoveResponse
 from guavacleat.forwarding.session import StreamSession
 from guavacleat.http1.calls import CallBrokenError, call
 from guavacleat.membership.registry import EndpointEntry
@@ -44,18 +44,18 @@
 class Evacuator:
     """Moves streams; ``sessions`` is the set of those running in this gateway."""
 
-    def __init__(self, parts, sessions: set[StreamSession]):
-        self.parts = parts
+    def __init__(self, context, sessions: set[StreamSession]):
+        self.context = context
         self.sessions = sessions
 
-    def leaving(self, entry: EndpointEntry) -> None:
+    def endpoint_leaving(self, entry: EndpointEntry) -> None:
         """Hear that an endpoint will soon be gone."""
         self._drop_copies_on(entry)
         if self._on(entry):
             evacuating = defer.Deferred.fromCoroutine(self._evacuate(entry))
             evacuating.addErrback(self._note_error)
 
-    def restarted(self, former: EndpointEntry) -> None:
+    def endpoint_restarted(self, former: EndpointEntry) -> None:
         """Hear that an endpoint's process is gone and another has its id and address.
 
         A stream that ran there is lost there; without this, one whose connection was not reset
@@ -64,7 +64,7 @@
         self._drop_copies_on(former)
         for session in self._on(former):
             events = session.memory.events
-            self.parts.clock.callLater(
+            self.context.clock.callLater(
                 RESTART_SILENCE_SECONDS, self._leave_if_silent, session, former, events
             )
 
@@ -73,7 +73,7 @@
         if events and session.memory.events == events and self._still_there(session, former):
             log_message(
                 message_type="stream:left-behind",
-                request=session.request.facts.id,
+                request=session.request.metadata.id,
                 endpoint=former.id,
             )
             session.leave_engine()
@@ -99,7 +99,7 @@
 
     async def _evacuate(self, entry: EndpointEntry) -> None:
         """Copy this gateway's streams off ``entry``, and hand each over to where its copy is."""
-        began = self.parts.clock.seconds()
+        began = self.context.clock.seconds()
         log_message(
             message_type="move:began",
             endpoint=entry.id,
@@ -113,7 +113,7 @@
             session = self._next(self._unprotected(entry), began, failed)
             if session is None:
                 failed.clear()
-                await task.deferLater(self.parts.clock, RETRY_SECONDS)
+                await task.deferLater(self.context.clock, RETRY_SECONDS)
             elif not await self._copy_somewhere(session, entry):
                 failed.add(session)
 
@@ -125,16 +125,16 @@
             session = self._next(protected, began, failed)
             if session is None:
                 failed.clear()
-                await task.deferLater(self.parts.clock, HAND_OVER_PAUSE_SECONDS)
+                await task.deferLater(self.context.clock, HAND_OVER_PAUSE_SECONDS)
             elif not await session.hand_over():
                 failed.add(session)
 
     def _evacuating(self, entry: EndpointEntry, began: float) -> bool:
-        return self.parts.clock.seconds() - began < EVACUATION_SECONDS and bool(self._on(entry))
+        return self.context.clock.seconds() - began < EVACUATION_SECONDS and bool(self._on(entry))
 
     def _next(self, sessions, began: float, failed: set) -> StreamSession | None:
         """The stream to move next: of those that will run on, the one worth most per token."""
-        late = self.parts.clock.seconds() - began >= SHORT_RUNS_SECONDS
+        late = self.context.clock.seconds() - began >= SHORT_RUNS_SECONDS
         waiting = [
             session
             for session in sessions
@@ -156,59 +156,66 @@
         for _ in range(2):
             engine = session.request.traits.engine
             expected = session.memory.expected_tokens()
-            target = self.parts.placement.choose_move_target(entry, expected, engine, tried)
+            target = self.context.placement.choose_move_target(entry, expected, engine, tried)
             if target is None or not self._still_there(session, entry):
                 return False
             tried.add(target.id)
-            began = self.parts.clock.seconds()
+            began = self.context.clock.seconds()
             # The copy takes memory there from the moment it is asked for.
-            arriving = Run(f"move:{session.request.facts.id}", expected)
-            self.parts.load.begin(target.id, arriving)
+            arriving = Run(f"move:{session.request.metadata.id}", expected)
+            self.context.load.begin(target.id, arriving)
             answer = await self._copy(session, entry, target)
             self._log("move:copied", session, entry, target, answer.status, began)
             useful = (
                 answer.copied
                 and self._still_there(session, entry)
-                and self.parts.registry.is_current(target)
+                and self.context.registry.is_current(target)
             )
             if useful:
                 session.memory.keep_copy(HeldCopy(target, entry, answer.handle))
-            self.parts.load.end(target.id, arriving)
+            self.context.load.end(target.id, arriving)
             if useful:
                 return True
             if answer.copied:
-                await free_copy(self.parts, entry.address, answer.handle)
+                await free_copy(self.context, entry.address, answer.handle)
             if answer.status == NO_SUCH_RUN:
                 return False
         return False
 
-    async def _copy(self, session, source, target) -> MoveAnswer:
-        parts = self.parts
-        method, path, headers, body = parts.wire.encode_move(
-            session.request.facts.id, target.address
+    async def _copy(self, session, source, target) -> MoveResponse:
+        context = self.context
+        method, path, headers, body = context.wire.encode_move(
+            session.request.metadata.id, target.address
         )
         try:
             answer = await call(
-                parts.clock, parts.pool, source.address, method, path, headers, body, COPY_SECONDS
+                context.clock,
+                context.pool,
+                source.address,
+                method,
+                path,
+                headers,
+                body,
+                COPY_SECONDS,
             )
         except CallBrokenError:
-            return MoveAnswer(0, None)
-        return parts.wire.decode_move(answer.code, answer.body)
+            return MoveResponse(0, None)
+        return context.wire.decode_move(answer.code, answer.body)
 
     def _log(self, message_type, session, source, target, status, began) -> None:
         log_message(
             message_type=message_type,
-            request=session.request.facts.id,
+            request=session.request.metadata.id,
             source=source.id,
             target=target.id,
             status=status,
             tokens=session.memory.tokens,
-            seconds=round(self.parts.clock.seconds() - began, 3),
+            seconds=round(self.context.clock.seconds() - began, 3),
         )
 
 
 def _worth_per_token(session: StreamSession) -> float:
     """What the link earns by copying the stream: its worth by its size, per token to copy."""
     request = session.request
-    size = request.prompt_tokens + OUTPUT_WORTH * request.facts.max_output_tokens
+    size = request.prompt_tokens + OUTPUT_WORTH * request.metadata.max_output_tokens
     return size / max(1, session.memory.tokens)
--- a/src/guavacleat/platform/engines.py
+++ b/src/guavacleat/platform/engines.py
@@ -3,7 +3,7 @@
 import json
 
 from guavacleat.addresses import format_address
-from guavacleat.forwarding.messages import EndpointStatus, MoveAnswer
+from guavacleat.forwarding.messages import EndpointStatus, MoveResponse
 
 __all__ = ["decode_move", "decode_status", "encode_move", "free_copy_target", "STATUS_QUESTION"]
 
@@ -29,10 +29,10 @@
     return f"/-/kv-handle/{handle}".encode()
 
 
-def decode_move(status: int, body: bytes) -> MoveAnswer:
+def decode_move(status: int, body: bytes) -> MoveResponse:
     """Decode the answer; a body that is not as described counts as a refusal."""
     handle = _fields(body).get("handle")
-    return MoveAnswer(status, None if handle is None else str(handle))
+    return MoveResponse(status, None if handle is None else str(handle))
 
 
 def decode_status(status: int, body: bytes) -> EndpointStatus:
--- a/src/guavacleat/platform/headers.py
+++ b/src/guavacleat/platform/headers.py
@@ -1,12 +1,17 @@
 """Header names on the platform, and what the product's requests and answers say in them."""
 
 from guavacleat.addresses import format_address
-from guavacleat.forwarding.messages import AnswerFacts, CallerFacts, EndpointOrder, PromptPart
-from guavacleat.forwarding.numbers import read_number, read_tokens
+from guavacleat.forwarding.messages import (
+    ForwardingMetadata,
+    PromptPart,
+    RequestMetadata,
+    ResponseMetadata,
+)
+from guavacleat.forwarding.numbers import parse_number, parse_token_count
 
 __all__ = [
-    "answer_facts",
-    "caller_facts",
+    "parse_response_metadata",
+    "parse_request_metadata",
     "endpoint_headers",
     "refusal_headers",
 ]
@@ -32,30 +37,30 @@
 OWNED_PREFIXES = (b"kv-", b"expect-")
 
 
-def caller_facts(headers: list[tuple[bytes, bytes]]) -> CallerFacts:
+def parse_request_metadata(headers: list[tuple[bytes, bytes]]) -> RequestMetadata:
     """Decode what a caller says of its request."""
     values = dict(headers)
-    deadline_ms = read_number(values.get(DEADLINE))
-    usage = [read_tokens(part) for part in values.get(TOKENS, b"").split(b",")]
-    return CallerFacts(
+    deadline_ms = parse_number(values.get(DEADLINE))
+    usage = [parse_token_count(part) for part in values.get(TOKENS, b"").split(b",")]
+    return RequestMetadata(
         id=values.get(REQUEST_ID, b"").decode("latin-1"),
         key=values.get(KEY, b"").decode("latin-1"),
-        patience=None if deadline_ms is None else max(0.0, deadline_ms / MS),
+        caller_timeout=None if deadline_ms is None else max(0.0, deadline_ms / MS),
         prompt_tokens=usage[0],
         max_output_tokens=usage[1] if len(usage) > 1 else 0,
-        expected_output_tokens=read_number(values.get(LENGTH_HINT)),
+        expected_output_tokens=parse_number(values.get(LENGTH_HINT)),
         prompt_parts=_prompt_parts(values.get(PROMPT, b"")),
     )
 
 
 def _prompt_parts(value: bytes) -> tuple[PromptPart, ...]:
     pairs = (item.partition(b":") for item in value.split(b",") if b":" in item)
-    parts = [(id.strip(), read_tokens(tokens)) for id, _, tokens in pairs]
+    parts = [(id.strip(), parse_token_count(tokens)) for id, _, tokens in pairs]
     return tuple(PromptPart(id.decode("latin-1"), tokens) for id, tokens in parts if tokens)
 
 
 def endpoint_headers(
-    headers: list[tuple[bytes, bytes]], order: EndpointOrder
+    headers: list[tuple[bytes, bytes]], metadata: ForwardingMetadata
 ) -> list[tuple[bytes, bytes]]:
     """The caller's headers as an endpoint gets them, with those that the system sets."""
     kept = [
@@ -63,28 +68,28 @@
         for name, value in headers
         if name not in OWNED and not name.startswith(OWNED_PREFIXES)
     ]
-    if order.resume is not None:
+    if metadata.resume is not None:
         kept = [(name, value) for name, value in kept if name != LAST_EVENT]
-        source = f"{format_address(order.resume.source)}/{order.resume.handle}"
+        source = f"{format_address(metadata.resume.source)}/{metadata.resume.handle}"
         kept.append((COPY_SOURCE, source.encode()))
-        kept.append((LAST_EVENT, b"%d" % order.resume.last_event))
-    if order.account is not None:
-        kept.append((ACCOUNT, order.account.encode("latin-1")))
-    if order.priority is not None:
-        kept.append((PRIORITY, b"%d" % order.priority))
-    if order.copy_to is not None:
-        kept.append((COPY_TARGET, format_address(order.copy_to).encode()))
-    kept.append((INCARNATION, order.incarnation.encode("latin-1")))
-    kept.append((DEADLINE, b"%d" % max(1, int(order.time_left * MS))))
+        kept.append((LAST_EVENT, b"%d" % metadata.resume.last_event))
+    if metadata.account is not None:
+        kept.append((ACCOUNT, metadata.account.encode("latin-1")))
+    if metadata.priority is not None:
+        kept.append((PRIORITY, b"%d" % metadata.priority))
+    if metadata.backup_target is not None:
+        kept.append((COPY_TARGET, format_address(metadata.backup_target).encode()))
+    kept.append((INCARNATION, metadata.incarnation.encode("latin-1")))
+    kept.append((DEADLINE, b"%d" % max(1, int(metadata.time_left * MS))))
     return kept
 
 
-def answer_facts(headers: list[tuple[bytes, bytes]]) -> AnswerFacts:
+def parse_response_metadata(headers: list[tuple[bytes, bytes]]) -> ResponseMetadata:
     """Decode what an endpoint says of its answer."""
     values = dict(headers)
-    return AnswerFacts(
+    return ResponseMetadata(
         request_id=values.get(REQUEST_ID, b"").decode("latin-1") if REQUEST_ID in values else None,
-        sealed=SEAL in values,
+        signed=SEAL in values,
         not_run=NOT_RUN in values,
         encoded=b"content-encoding" in values,
     )
--- a/src/guavacleat/platform/wire.py
+++ b/src/guavacleat/platform/wire.py
@@ -9,14 +9,14 @@
 class PlatformWire(Wire):
     """See :class:`~guavacleat.forwarding.wire.Wire` for each method."""
 
-    caller_facts = staticmethod(headers.caller_facts)
+    parse_request_metadata = staticmethod(headers.parse_request_metadata)
     endpoint_headers = staticmethod(headers.endpoint_headers)
-    answer_facts = staticmethod(headers.answer_facts)
+    parse_response_metadata = staticmethod(headers.parse_response_metadata)
     refusal_headers = staticmethod(headers.refusal_headers)
     encode_move = staticmethod(engines.encode_move)
     decode_move = staticmethod(engines.decode_move)
     free_copy_target = staticmethod(engines.free_copy_target)
     decode_status = staticmethod(engines.decode_status)
 
-    def encode_status_question(self):
+    def encode_status_request(self):
         return engines.STATUS_QUESTION
--- a/tests/forwarding/harness.py
+++ b/tests/forwarding/harness.py
@@ -4,8 +4,8 @@
 from twisted.internet.error import ConnectionRefusedError
 
 from guavacleat.admission.generations import GenerationQueue
-from guavacleat.forwarding.messages import AnswerFacts, CallerFacts, MoveAnswer
-from guavacleat.forwarding.parts import ForwardingParts
+from guavacleat.forwarding.context import ForwardingContext
+from guavacleat.forwarding.messages import MoveResponse, RequestMetadata, ResponseMetadata
 from guavacleat.forwarding.request import ForwardedRequest
 from guavacleat.forwarding.wire import Wire
 from guavacleat.http1.client import BreakReason
@@ -22,29 +22,32 @@
 ENGINE = EngineTraits(24, 30000, 163840, 24000.0, 4, moves=True, backups=False)
 
 
-class PlainWire(Wire):
+class FakeWire(Wire):
     """Header names of the tests' own: ``id``, ``sealed``, ``not-run``, ``resume``."""
 
-    def caller_facts(self, headers):
+    def parse_request_metadata(self, headers):
         values = dict(headers)
-        return CallerFacts(values.get(b"id", b"").decode(), patience=None)
+        return RequestMetadata(values.get(b"id", b"").decode(), caller_timeout=None)
 
-    def endpoint_headers(self, headers, order):
+    def endpoint_headers(self, headers, metadata):
         kept = list(headers)
-        kept.append((b"incarnation", order.incarnation.encode()))
-        kept.append((b"time-left", b"%.3f" % order.time_left))
-        if order.resume is not None:
+        kept.append((b"incarnation", metadata.incarnation.encode()))
+        kept.append((b"time-left", b"%.3f" % metadata.time_left))
+        if metadata.resume is not None:
             kept.append(
-                (b"resume", b"%s %d" % (order.resume.handle.encode(), order.resume.last_event))
+                (
+                    b"resume",
+                    b"%s %d" % (metadata.resume.handle.encode(), metadata.resume.last_event),
+                )
             )
-        if order.copy_to is not None:
-            kept.append((b"copy-to", order.copy_to[0].encode()))
+        if metadata.backup_target is not None:
+            kept.append((b"copy-to", metadata.backup_target[0].encode()))
         return kept
 
-    def answer_facts(self, headers):
+    def parse_response_metadata(self, headers):
         values = dict(headers)
         id = values.get(b"id")
-        return AnswerFacts(
+        return ResponseMetadata(
             None if id is None else id.decode(), b"sealed" in values, b"not-run" in values, False
         )
 
@@ -55,13 +58,13 @@
         return b"POST", b"/copy", [], f"{request_id} {target[0]}".encode()
 
     def decode_move(self, status, body):
-        return MoveAnswer(status, body.decode() or None)
+        return MoveResponse(status, body.decode() or None)
 
     def free_copy_target(self, handle):
         return f"/free/{handle}".encode()
 
 
-class EndpointSide:
+class FakeEndpointConnection:
     """A connection as the gateway's side uses it, and the endpoint's end as the test plays it."""
 
     def __init__(self, address):
@@ -82,9 +85,9 @@
         self.open, self.abandoned = False, True
         self.break_off(BreakReason.ABANDONED)
 
-    def begin(self, status=200, id=b"r1", sealed=True, not_run=False):
+    def begin(self, status=200, id=b"r1", signed=True, not_run=False):
         headers = [(b"id", id)] if id is not None else []
-        headers += [(b"sealed", b"1")] if sealed else []
+        headers += [(b"sealed", b"1")] if signed else []
         headers += [(b"not-run", b"1")] if not_run else []
         self.listener.answer_began(ResponseHead(status, b"", headers))
 
@@ -109,33 +112,33 @@
         self.end()
 
 
-class TestPool:
-    """Hands out :class:`EndpointSide` connections; addresses in ``refused`` refuse."""
+class FakePool:
+    """Hands out :class:`FakeEndpointConnection` connections; addresses in ``refused`` refuse."""
 
     __test__ = False
 
     def __init__(self):
-        self.connections: list[EndpointSide] = []
+        self.connections: list[FakeEndpointConnection] = []
         self.refused: set = set()
 
     def connect(self, address):
         if address in self.refused:
             return defer.fail(ConnectionRefusedError(str(address)))
-        self.connections.append(EndpointSide(address))
+        self.connections.append(FakeEndpointConnection(address))
         return defer.succeed(self.connections[-1])
 
     def connect_anew(self, address):
         """Connections that are only tried are not kept: a test counts those that are used."""
         if address in self.refused:
             return defer.fail(ConnectionRefusedError(str(address)))
-        return defer.succeed(EndpointSide(address))
+        return defer.succeed(FakeEndpointConnection(address))
 
-    def to(self, name) -> list[EndpointSide]:
+    def to(self, name) -> list[FakeEndpointConnection]:
         """Connections to the endpoint of this name, oldest first."""
         return [side for side in self.connections if side.address[0] == name]
 
 
-class CallerSide:
+class FakeCaller:
     """What a caller sees: stands in for its connection."""
 
     def __init__(self):
@@ -158,7 +161,7 @@
         self.open, self.was_cut = False, True
 
 
-class World:
+class ForwardingHarness:
     """One gateway's forwarding with ready endpoints named ``names`` of service ``svc``."""
 
     def __init__(self, clock, names=("e1", "e2", "e3"), engine=ENGINE, bounds=None):
@@ -166,7 +169,7 @@
         self.engine = engine
         self.registry = EndpointRegistry(clock)
         self.load = LoadTracker(clock)
-        self.pool = TestPool()
+        self.pool = FakePool()
         self.crashes = CrashBook(clock)
         quarantine = QuarantineGuard(clock, self.crashes, EndpointProbe(self.pool, self.registry))
         placement = Placement(
@@ -176,10 +179,10 @@
         budget = RetryBudget(clock, bounds, lambda: 1)
         self.queue = GenerationQueue(clock, placement, seed=1)
         self.load.listeners.append(self.queue.schedule_dispatch)
-        self.parts = ForwardingParts(
+        self.context = ForwardingContext(
             clock,
             self.pool,
-            PlainWire(),
+            FakeWire(),
             self.registry,
             self.load,
             placement,
@@ -193,18 +196,18 @@
     def ready(self, name, data_centre="dc", state=EndpointState.READY):
         self.registry.observe(entry(name, data_centre, state))
 
-    def request(self, kind=RequestKind.IDEMPOTENT, attempts=2, timeout=2.0, body=b"", **facts):
+    def request(self, kind=RequestKind.IDEMPOTENT, attempts=2, timeout=2.0, body=b"", **metadata):
         """A request ``r1`` and the caller who waits for its answer."""
         route = Route(
             "r", "h", "/", (Backend("svc", 1),), kind, timeout, 0.1, 0.2, max_attempts=attempts
         )
-        caller = CallerSide()
+        caller = FakeCaller()
         head = RequestHead(b"POST", b"/x", [(b"host", b"h"), (b"id", b"r1")])
         exchange = CallerExchange(caller, head, body)
-        facts = CallerFacts("r1", **{"prompt_tokens": 1000, **facts})
+        metadata = RequestMetadata("r1", **{"prompt_tokens": 1000, **metadata})
         traits = ServiceTraits("svc", 100, self.engine)
         request = ForwardedRequest(
-            exchange, facts, route, None, "svc", traits, 1, self.clock.seconds(), head.headers
+            exchange, metadata, route, None, "svc", traits, 1, self.clock.seconds(), head.headers
         )
         return request, caller
 
--- a/tests/forwarding/test_native.py
+++ b/tests/forwarding/test_native.py
@@ -18,14 +18,14 @@
         (b"x-prompt-tokens", b"3000"),
         (b"x-max-tokens", b"900"),
     ]
-    facts = NativeWire().caller_facts(headers)
-    assert (facts.id, facts.key, facts.patience) == ("r1", "k1", 1.5)
-    assert (facts.prompt_tokens, facts.max_output_tokens) == (3000, 900)
+    metadata = NativeWire().parse_request_metadata(headers)
+    assert (metadata.id, metadata.key, metadata.caller_timeout) == ("r1", "k1", 1.5)
+    assert (metadata.prompt_tokens, metadata.max_output_tokens) == (3000, 900)
 
 
 @pytest.mark.parametrize("number", [b"inf", b"nan", b"-7", b"9" * 40, b"x", b""])
 def test_odd_numbers_stay_in_bounds(number):
     names = (b"x-deadline", b"x-prompt-tokens", b"x-max-tokens")
-    facts = NativeWire().caller_facts([(name, number) for name in names])
-    assert facts.patience is None or 0 <= facts.patience < float("inf")
-    assert 0 <= facts.prompt_tokens <= 10**9 and 0 <= facts.max_output_tokens <= 10**9
+    metadata = NativeWire().parse_request_metadata([(name, number) for name in names])
+    assert metadata.caller_timeout is None or 0 <= metadata.caller_timeout < float("inf")
+    assert 0 <= metadata.prompt_tokens <= 10**9 and 0 <= metadata.max_output_tokens <= 10**9
--- a/tests/forwarding/test_plain_machine.py
+++ b/tests/forwarding/test_plain_machine.py
@@ -8,18 +8,18 @@
 from guavacleat.forwarding.plain import PlainForwarder
 from guavacleat.routes import RequestKind
 from tests.conftest import examples
-from tests.forwarding.harness import World
+from tests.forwarding.harness import ForwardingHarness
 
 ENDPOINTS = ("e1", "e2", "e3", "e4")
 # What an endpoint may do with a request, and whether it has run it then.
 ACTS = {
     "answer": (lambda side: side.answer(body=b"own"), True),
     "fail": (lambda side: side.answer(500, body=b"sorry"), True),
-    "refuse": (lambda side: side.answer(503, sealed=False, not_run=True, id=None), False),
-    "misdirect": (lambda side: side.answer(421, sealed=False, id=None), False),
+    "refuse": (lambda side: side.answer(503, signed=False, not_run=True, id=None), False),
+    "misdirect": (lambda side: side.answer(421, signed=False, id=None), False),
     "reset": (lambda side: side.break_off(), True),
     "foreign": (lambda side: side.answer(id=b"r2", body=b"foreign"), True),
-    "unsigned": (lambda side: side.answer(sealed=False, body=b"unsigned"), True),
+    "unsigned": (lambda side: side.answer(signed=False, body=b"unsigned"), True),
     "half": (lambda side: (side.begin(), side.body_bytes(b"ow"), side.break_off()), True),
     "hang": (lambda side: None, True),
     "leave": (None, True),
@@ -34,17 +34,17 @@
     unreachable=st.sets(st.sampled_from(ENDPOINTS)),
 )
 def test_any_behaviour_of_endpoints_keeps_the_promises(kind, attempts, acts, unreachable):
-    world = World(Clock(), names=ENDPOINTS, engine=None)
-    world.pool.refused = {(name, 80) for name in unreachable}
-    request, caller = world.request(kind=kind, attempts=attempts, timeout=0.8)
+    harness = ForwardingHarness(Clock(), names=ENDPOINTS, engine=None)
+    harness.pool.refused = {(name, 80) for name in unreachable}
+    request, caller = harness.request(kind=kind, attempts=attempts, timeout=0.8)
     refusals = []
-    done = defer.Deferred.fromCoroutine(PlainForwarder(world.parts).forward(request))
+    done = defer.Deferred.fromCoroutine(PlainForwarder(harness.context).forward(request))
     done.addErrback(lambda failure: refusals.append(failure.value))
     runs = []
     for number, act in enumerate(acts):
-        if number >= len(world.pool.connections):
+        if number >= len(harness.pool.connections):
             break
-        side = world.pool.connections[number]
+        side = harness.pool.connections[number]
         play, has_run = ACTS[act]
         if has_run:
             runs.append(act)
@@ -54,13 +54,13 @@
         else:
             play(side)
         if act == "hang":
-            world.clock.advance(0.8)
+            harness.clock.advance(0.8)
     if kind is RequestKind.NON_IDEMPOTENT:
         assert len(runs) <= 1
     assert len(runs) <= attempts
-    if refusals and refusals[0].verdict.status == 503:
+    if refusals and refusals[0].reason.status == 503:
         assert runs == []
     if caller.complete:
         assert caller.data in (b"own", b"sorry")
         assert (caller.head[0] == 200) == (caller.data == b"own")
-    assert world.load.runs_by_endpoint == {}
+    assert harness.load.runs_by_endpoint == {}
--- a/tests/forwarding/test_quarantine.py
+++ b/tests/forwarding/test_quarantine.py
@@ -3,125 +3,125 @@
 import pytest
 from twisted.internet import defer
 
-from guavacleat.forwarding.answers import Verdict
 from guavacleat.forwarding.memory import HeldCopy
 from guavacleat.forwarding.plain import PlainForwarder
+from guavacleat.forwarding.refusals import RefusalReason
 from guavacleat.forwarding.session import StreamSession
 from guavacleat.http1.client import BreakReason
 from guavacleat.placement import Run
 from guavacleat.quarantine import StandingKind
 from guavacleat.routes import EngineTraits, RequestKind
-from tests.forwarding.harness import World, entry, event
+from tests.forwarding.harness import ForwardingHarness, entry, event
 
 BACKED_UP = EngineTraits(24, 30000, 163840, 24000.0, 4, moves=True, backups=True)
 APART_SECONDS = 1.5
 
 
-def blame(world, request, times):
+def blame(harness, request, times):
     """So many endpoints have ended while the request was in flight there."""
     for number in range(times):
-        world.crashes.confirm(world.crashes.broken(f"gone-{number}", request.content_key))
-        world.clock.advance(APART_SECONDS)
+        harness.crashes.confirm(harness.crashes.broken(f"gone-{number}", request.content_key))
+        harness.clock.advance(APART_SECONDS)
 
 
-def stream(world, times=0, **facts):
-    request, caller = world.request(kind=RequestKind.STREAM, timeout=39.0, **facts)
-    blame(world, request, times)
+def stream(harness, times=0, **metadata):
+    request, caller = harness.request(kind=RequestKind.STREAM, timeout=39.0, **metadata)
+    blame(harness, request, times)
     refusals = []
-    session = StreamSession(request, world.parts, set())
+    session = StreamSession(request, harness.context, set())
     done = defer.Deferred.fromCoroutine(session.run())
     done.addErrback(lambda failure: refusals.append(failure.value))
     return session, caller, refusals
 
 
-def plain(world, times=0, **kind):
-    request, caller = world.request(timeout=60.0, **kind)
-    blame(world, request, times)
+def plain(harness, times=0, **kind):
+    request, caller = harness.request(timeout=60.0, **kind)
+    blame(harness, request, times)
     refusals = []
-    done = defer.Deferred.fromCoroutine(PlainForwarder(world.parts).forward(request))
+    done = defer.Deferred.fromCoroutine(PlainForwarder(harness.context).forward(request))
     done.addErrback(lambda failure: refusals.append(failure.value))
     return request, caller, refusals
 
 
-def crash(world, side):
-    world.pool.refused.add(side.address)
+def crash(harness, side):
+    harness.pool.refused.add(side.address)
     side.break_off(BreakReason.RESET)
 
 
-def busy(world, name, runs):
+def busy(harness, name, runs):
     for number in range(runs):
-        world.load.begin(name, Run(f"{name}-{number}", peak_tokens=100))
+        harness.load.begin(name, Run(f"{name}-{number}", peak_tokens=100))
 
 
 def test_an_idempotent_request_is_not_repeated_after_the_third_end(clock):
     """Guards against a gateway's own repeats that end one endpoint more."""
-    world = World(clock, engine=None)
-    request, _, refusals = plain(world, times=2, attempts=3)
-    crash(world, world.pool.connections[0])
-    assert len(world.pool.connections) == 1
-    assert refusals[0].verdict is Verdict.BROKEN
-    assert world.parts.quarantine.standing(request).kind is StandingKind.REFUSED
+    harness = ForwardingHarness(clock, engine=None)
+    request, _, refusals = plain(harness, times=2, attempts=3)
+    crash(harness, harness.pool.connections[0])
+    assert len(harness.pool.connections) == 1
+    assert refusals[0].reason is RefusalReason.BROKEN
+    assert harness.context.quarantine.standing(request).kind is StandingKind.REFUSED
 
 
 def test_a_suspect_that_has_run_is_not_called_not_run(clock):
     """Guards against 503 for a request that ended an endpoint just before."""
-    world = World(clock, engine=None)
+    harness = ForwardingHarness(clock, engine=None)
     for name in ("e1", "e2", "e3"):
-        busy(world, name, 6)
-    request, _, refusals = plain(world, times=1, attempts=3)
-    crash(world, world.pool.connections[0])
-    assert world.parts.quarantine.standing(request).kind is StandingKind.APART
-    assert len(world.pool.connections) == 1
-    assert refusals[0].verdict is Verdict.BROKEN
+        busy(harness, name, 6)
+    request, _, refusals = plain(harness, times=1, attempts=3)
+    crash(harness, harness.pool.connections[0])
+    assert harness.context.quarantine.standing(request).kind is StandingKind.APART
+    assert len(harness.pool.connections) == 1
+    assert refusals[0].reason is RefusalReason.BROKEN
 
 
 @pytest.mark.parametrize("start,connections", [(plain, 0), (stream, 0)])
 def test_what_is_refused_reaches_no_endpoint(clock, start, connections):
-    world = World(clock, engine=None)
-    _, _, refusals = start(world, times=3)
-    assert len(world.pool.connections) == connections
-    assert refusals[0].verdict is Verdict.QUARANTINED
+    harness = ForwardingHarness(clock, engine=None)
+    _, _, refusals = start(harness, times=3)
+    assert len(harness.pool.connections) == connections
+    assert refusals[0].reason is RefusalReason.QUARANTINED
     assert refusals[0].retry_after > 0
 
 
 @pytest.mark.parametrize("start", [plain, stream])
 def test_a_suspect_runs_where_least_runs(clock, start):
     """Guards against a suspect that takes many callers' requests down with it."""
-    world = World(clock)
-    busy(world, "e1", 4)
-    busy(world, "e2", 1)
-    busy(world, "e3", 2)
-    start(world, times=2)
-    assert [side.address[0] for side in world.pool.connections] == ["e2"]
+    harness = ForwardingHarness(clock)
+    busy(harness, "e1", 4)
+    busy(harness, "e2", 1)
+    busy(harness, "e3", 2)
+    start(harness, times=2)
+    assert [side.address[0] for side in harness.pool.connections] == ["e2"]
 
 
 @pytest.mark.parametrize("start", [plain, stream])
 def test_a_trial_waits_for_a_quiet_endpoint(clock, start):
-    world = World(clock)
+    harness = ForwardingHarness(clock)
     for name in ("e1", "e2", "e3"):
-        busy(world, name, 4)
-    request, _ = world.request(kind=RequestKind.STREAM)
-    blame(world, request, 3)
+        busy(harness, name, 4)
+    request, _ = harness.request(kind=RequestKind.STREAM)
+    blame(harness, request, 3)
     clock.advance(5.0)
-    _, _, refusals = start(world)
-    assert world.pool.connections == []
-    assert refusals[0].verdict is Verdict.QUARANTINED
+    _, _, refusals = start(harness)
+    assert harness.pool.connections == []
+    assert refusals[0].reason is RefusalReason.QUARANTINED
 
 
 def test_nothing_else_begins_where_a_suspect_is_tried(clock):
     """Guards against callers who are sent to the endpoint that a trial ends."""
-    world = World(clock, names=("e1", "e2"), engine=None)
-    plain(world, times=2)
-    tried = world.pool.connections[0].address[0]
+    harness = ForwardingHarness(clock, names=("e1", "e2"), engine=None)
+    plain(harness, times=2)
+    tried = harness.pool.connections[0].address[0]
     for number in range(6):
-        request, _ = world.request(body=b"%d" % number)
-        defer.Deferred.fromCoroutine(PlainForwarder(world.parts).forward(request))
-    assert {side.address[0] for side in world.pool.connections[1:]} == {"e1", "e2"} - {tried}
+        request, _ = harness.request(body=b"%d" % number)
+        defer.Deferred.fromCoroutine(PlainForwarder(harness.context).forward(request))
+    assert {side.address[0] for side in harness.pool.connections[1:]} == {"e1", "e2"} - {tried}
 
 
-def resumable(world, times):
-    session, caller, _ = stream(world, times)
-    side = world.pool.connections[0]
+def resumable(harness, times):
+    session, caller, _ = stream(harness, times)
+    side = harness.pool.connections[0]
     side.begin()
     side.body_bytes(event(1))
     keeper = next(name for name in ("e1", "e2", "e3") if name != side.address[0])
@@ -130,68 +130,68 @@
 
 
 def test_a_sound_stream_goes_on_from_its_copy_after_one_end(clock):
-    world = World(clock)
-    _, caller, side, keeper = resumable(world, 0)
-    crash(world, side)
-    assert world.pool.connections[1].address[0] == keeper
+    harness = ForwardingHarness(clock)
+    _, caller, side, keeper = resumable(harness, 0)
+    crash(harness, side)
+    assert harness.pool.connections[1].address[0] == keeper
     assert not caller.was_cut
 
 
 def test_a_suspect_does_not_go_on_where_others_run(clock):
     """Guards against a copy that takes the crash to the engine which holds it."""
-    world = World(clock)
-    _, caller, side, keeper = resumable(world, 1)
-    busy(world, keeper, 6)
-    crash(world, side)
-    assert len(world.pool.connections) == 1
+    harness = ForwardingHarness(clock)
+    _, caller, side, keeper = resumable(harness, 1)
+    busy(harness, keeper, 6)
+    crash(harness, side)
+    assert len(harness.pool.connections) == 1
     assert caller.was_cut
 
 
 def test_a_refused_request_does_not_go_on_from_its_copy(clock):
-    world = World(clock)
-    _, caller, side, _ = resumable(world, 2)
-    crash(world, side)
-    assert len(world.pool.connections) == 1
+    harness = ForwardingHarness(clock)
+    _, caller, side, _ = resumable(harness, 2)
+    crash(harness, side)
+    assert len(harness.pool.connections) == 1
     assert caller.was_cut
 
 
 def test_a_suspect_gets_no_backup_and_is_not_handed_over(clock):
-    world = World(clock, engine=BACKED_UP)
+    harness = ForwardingHarness(clock, engine=BACKED_UP)
     clock.advance(10.0)
-    session, _, _, _ = resumable(world, 2)
-    assert b"copy-to" not in world.pool.connections[0].headers
+    session, _, _, _ = resumable(harness, 2)
+    assert b"copy-to" not in harness.pool.connections[0].headers
     handing_over = defer.Deferred.fromCoroutine(session.hand_over())
     assert handing_over.result is False
 
 
 def test_a_request_that_waited_while_it_was_convicted_is_refused(clock):
     """Guards against copies of one request that wait for room while the first ones crash."""
-    world = World(clock)
+    harness = ForwardingHarness(clock)
     for name in ("e1", "e2", "e3"):
-        world.load.begin(name, Run("full", peak_tokens=30000, unread_tokens=5000))
-    session, _, refusals = stream(world)
-    assert world.queue.waiting("svc") == 1
-    blame(world, session.request, 3)
-    world.load.end("e1", world.load.runs_by_endpoint["e1"]["full"])
+        harness.load.begin(name, Run("full", peak_tokens=30000, unread_tokens=5000))
+    session, _, refusals = stream(harness)
+    assert harness.queue.waiting("svc") == 1
+    blame(harness, session.request, 3)
+    harness.load.end("e1", harness.load.runs_by_endpoint["e1"]["full"])
     clock.advance(0.2)
-    assert world.pool.connections == []
-    assert refusals[0].verdict is Verdict.QUARANTINED
+    assert harness.pool.connections == []
+    assert refusals[0].reason is RefusalReason.QUARANTINED
 
 
 @pytest.mark.parametrize("reason", [BreakReason.GARBLED, BreakReason.ABANDONED])
 def test_an_answer_that_is_spoilt_blames_nobody(clock, reason):
-    world = World(clock, engine=None)
-    request, _, _ = plain(world, attempts=1)
-    world.pool.connections[0].break_off(reason)
-    assert world.crashes.crashes(request.content_key) == 0
+    harness = ForwardingHarness(clock, engine=None)
+    request, _, _ = plain(harness, attempts=1)
+    harness.pool.connections[0].break_off(reason)
+    assert harness.crashes.crashes(request.content_key) == 0
 
 
 def test_an_endpoint_that_left_as_announced_blames_nobody(clock):
     """Guards against suspecting what was in flight when an engine was reclaimed."""
-    world = World(clock, engine=None)
-    request, _, _ = plain(world, attempts=1)
-    side = world.pool.connections[0]
-    leaving = world.registry.entries_by_id[side.address[0]]
-    world.registry.observe_leaving(leaving)
-    crash(world, side)
-    assert world.crashes.crashes(request.content_key) == 0
+    harness = ForwardingHarness(clock, engine=None)
+    request, _, _ = plain(harness, attempts=1)
+    side = harness.pool.connections[0]
+    leaving = harness.registry.entries_by_id[side.address[0]]
+    harness.registry.observe_leaving(leaving)
+    crash(harness, side)
+    assert harness.crashes.crashes(request.content_key) == 0
--- a/tests/ingress/test_dispatch.py
+++ b/tests/ingress/test_dispatch.py
@@ -20,14 +20,14 @@
     ServiceTraits,
 )
 from guavacleat.routes.holder import RouteHolder
-from tests.forwarding.harness import ENGINE, CallerSide, PlainWire, World, event
+from tests.forwarding.harness import ENGINE, FakeCaller, FakeWire, ForwardingHarness, event
 
 
-class KeyedWire(PlainWire):
-    def caller_facts(self, headers):
-        facts = super().caller_facts(headers)
-        facts.key = dict(headers).get(b"key", b"").decode()
-        return facts
+class KeyedWire(FakeWire):
+    def parse_request_metadata(self, headers):
+        metadata = super().parse_request_metadata(headers)
+        metadata.key = dict(headers).get(b"key", b"").decode()
+        return metadata
 
 
 def table(version=1):
@@ -43,21 +43,21 @@
 
 
 @pytest.fixture
-def world(clock):
-    world = World(clock, engine=None)
-    world.parts.wire = KeyedWire()
-    return world
+def harness(clock):
+    harness = ForwardingHarness(clock, engine=None)
+    harness.context.wire = KeyedWire()
+    return harness
 
 
 @pytest.fixture
-def dispatch(world):
+def dispatch(harness):
     holder = RouteHolder()
     holder.offer(table())
-    return Dispatch(holder, world.parts, IngressMetrics(), 100, PeerTable(world.clock))
+    return Dispatch(holder, harness.context, IngressMetrics(), 100, PeerTable(harness.clock))
 
 
 def ask(dispatch, path="/keyed/x", key=b"k1", host=b"h:80", body=b""):
-    caller = CallerSide()
+    caller = FakeCaller()
     headers = [(b"host", host), (b"id", b"r1"), (b"key", key)]
     dispatch.handle(CallerExchange(caller, RequestHead(b"GET", path.encode(), headers), body))
     return caller
@@ -82,9 +82,9 @@
     assert ask(dispatch, path, key).head[0] in (404, 401), "of a peer that is gone"
 
 
-def test_a_known_key_reaches_an_endpoint(dispatch, world):
+def test_a_known_key_reaches_an_endpoint(dispatch, harness):
     caller = ask(dispatch)
-    world.pool.connections[0].answer(body=b"ok")
+    harness.pool.connections[0].answer(body=b"ok")
     assert (caller.head[0], caller.data) == (200, b"ok")
 
 
@@ -97,24 +97,28 @@
 
 
 @pytest.mark.parametrize("request_changes,status", ANSWERS)
-def test_what_the_configuration_does_not_allow_is_refused(dispatch, world, request_changes, status):
+def test_what_the_configuration_does_not_allow_is_refused(
+    dispatch, harness, request_changes, status
+):
     caller = ask(dispatch, **request_changes)
     assert caller.head[0] == status and caller.complete
-    assert world.pool.connections == []
+    assert harness.pool.connections == []
 
 
-def test_a_public_route_asks_for_no_key(dispatch, world):
+def test_a_public_route_asks_for_no_key(dispatch, harness):
     ask(dispatch, path="/open/x", key=b"k9")
-    assert len(world.pool.connections) == 1
+    assert len(harness.pool.connections) == 1
 
 
-def test_without_configuration_nothing_is_denied(world):
+def test_without_configuration_nothing_is_denied(harness):
     """
     Symptom: callers are told that a route does not exist, right after a restart.
     Sequence: a gateway starts while the store is away; a request for a known route comes.
     Cause: a gateway that knows no configuration can only ask the caller to come back.
     """
-    dispatch = Dispatch(RouteHolder(), world.parts, IngressMetrics(), 100, PeerTable(world.clock))
+    dispatch = Dispatch(
+        RouteHolder(), harness.context, IngressMetrics(), 100, PeerTable(harness.clock)
+    )
     caller = ask(dispatch)
     assert caller.head[0] == 503
     assert float(caller.head[1][b"retry-after"]) > 0
@@ -127,40 +131,40 @@
     assert dispatch.held_bytes == 80
 
 
-def test_a_stopping_gateway_takes_only_what_it_can_finish(dispatch, world):
+def test_a_stopping_gateway_takes_only_what_it_can_finish(dispatch, harness):
     """
     Symptom: a request that came seconds after SIGTERM ends with a closed connection.
     Sequence: all gateways of a data centre are stopped in turn, so callers are sent to stopping
     ones too; a stream comes three seconds after SIGTERM and is cut when the process ends.
     Cause: what cannot be finished must be refused as not run, so that another gateway gets it.
     """
-    dispatch.stop_at(world.clock.seconds() + 7.5)
-    world.clock.advance(LAST_STREAM_SECONDS + 0.1)
+    dispatch.stop_at(harness.clock.seconds() + 7.5)
+    harness.clock.advance(LAST_STREAM_SECONDS + 0.1)
     caller = ask(dispatch, path="/stream/x")
     assert caller.head[0] == 503
     assert float(caller.head[1][b"retry-after"]) > 0
     ask(dispatch)
-    world.pool.connections[0].answer(body=b"ok")
-    world.clock.advance(7.5 - LAST_STREAM_SECONDS - 0.6)
+    harness.pool.connections[0].answer(body=b"ok")
+    harness.clock.advance(7.5 - LAST_STREAM_SECONDS - 0.6)
     assert ask(dispatch).head[0] == 503
 
 
-def test_a_stopping_gateway_takes_a_short_stream_at_first(dispatch, world):
-    dispatch.stop_at(world.clock.seconds() + 7.5)
+def test_a_stopping_gateway_takes_a_short_stream_at_first(dispatch, harness):
+    dispatch.stop_at(harness.clock.seconds() + 7.5)
     ask(dispatch, path="/stream/x")
-    assert len(world.pool.connections) == 1
+    assert len(harness.pool.connections) == 1
 
 
-def test_a_stopping_gateway_refuses_a_long_stream_at_once(dispatch, world, monkeypatch):
-    dispatch.stop_at(world.clock.seconds() + 7.5)
-    facts = world.parts.wire.caller_facts
+def test_a_stopping_gateway_refuses_a_long_stream_at_once(dispatch, harness, monkeypatch):
+    dispatch.stop_at(harness.clock.seconds() + 7.5)
+    parse = harness.context.wire.parse_request_metadata
 
     def long(headers):
-        found = facts(headers)
+        found = parse(headers)
         found.max_output_tokens = 5000
         return found
 
-    monkeypatch.setattr(world.parts.wire, "caller_facts", long)
+    monkeypatch.setattr(harness.context.wire, "parse_request_metadata", long)
     assert ask(dispatch, path="/stream/x").head[0] == 503
 
 
@@ -180,10 +184,10 @@
     assert dispatch.in_flight == 0
 
 
-def test_requests_are_counted_by_outcome(dispatch, world):
+def test_requests_are_counted_by_outcome(dispatch, harness):
     ask(dispatch, key=b"k9")
     ask(dispatch)
-    world.pool.connections[0].answer(body=b"ok")
+    harness.pool.connections[0].answer(body=b"ok")
     text = dispatch.metrics.exposition().decode()
     assert 'outcome="UNKNOWN_KEY"' in text
     assert 'outcome="ANSWERED"' in text
@@ -216,24 +220,24 @@
     assert (line["request"], line["outcome"]) == ("r1", "UNKNOWN_KEY")
 
 
-def test_a_cut_stream_is_not_logged_as_left_by_its_caller(dispatch, world, ends):
+def test_a_cut_stream_is_not_logged_as_left_by_its_caller(dispatch, harness, ends):
     """
     Symptom: a cut stream is taken for one whose caller left.
     Sequence: its endpoint breaks off in the middle; the gateway closes the caller's connection.
     Cause: a closed connection was read as the caller's doing.
     """
     ask(dispatch, path="/stream/x")
-    side = world.pool.connections[0]
+    side = harness.pool.connections[0]
     side.begin()
     side.body_bytes(event(1))
     side.break_off()
     assert [line["outcome"] for line in ends] == ["CUT"]
 
 
-def test_a_caller_that_closes_after_its_whole_answer_was_answered(dispatch, world, ends):
+def test_a_caller_that_closes_after_its_whole_answer_was_answered(dispatch, harness, ends):
     caller = ask(dispatch)
     caller.send_end = lambda: setattr(caller, "open", False)
-    world.pool.connections[0].answer(body=b"ok")
+    harness.pool.connections[0].answer(body=b"ok")
     assert [line["outcome"] for line in ends] == ["ANSWERED"]
 
 
@@ -248,7 +252,9 @@
 
 
 @pytest.mark.parametrize("stops, retry_after", STOPS)
-def test_a_caller_is_told_when_a_gateway_is_back(dispatch, world, monkeypatch, stops, retry_after):
+def test_a_caller_is_told_when_a_gateway_is_back(
+    dispatch, harness, monkeypatch, stops, retry_after
+):
     """
     Symptom: callers are refused twice and give up while gateways are stopped in turn.
     Sequence: all gateways are being stopped; each refuses a long stream and sends it on at once.
@@ -256,8 +262,8 @@
     """
     for number, stops_in in enumerate(stops):
         dispatch.peers.observe(GatewayReport(f"g{number}", 1, 1, {}, stops_in=stops_in))
-    dispatch.stop_at(world.clock.seconds() + 7.5)
-    monkeypatch.setattr(dispatch.pace, "seconds_per_token", 60.0)
+    dispatch.stop_at(harness.clock.seconds() + 7.5)
+    monkeypatch.setattr(dispatch.generation_speed, "seconds_per_token", 60.0)
     dispatch.holder.table.services_by_name["svc"] = ServiceTraits("svc", 10, ENGINE)
     caller = ask(dispatch, path="/stream/x")
     assert caller.head[0] == 503
@@ -266,7 +272,7 @@
 
 @pytest.mark.parametrize("path, late", [("/open/x", True), ("/stream/x", False)])
 def test_an_answer_is_late_by_its_goal_and_a_stream_only_by_its_first_event(
-    dispatch, world, ends, path, late
+    dispatch, harness, ends, path, late
 ):
     """
     Symptom: a report puts most streams down as late.
@@ -274,9 +280,9 @@
     Cause: the goal of a stream is for its first event.
     """
     ask(dispatch, path)
-    side = world.pool.connections[0]
+    side = harness.pool.connections[0]
     side.begin()
     side.body_bytes(event(1))
-    world.clock.advance(0.5)
+    harness.clock.advance(0.5)
     side.end()
     assert [line["late"] for line in ends] == [late]
--- a/tests/membership/test_status_poll.py
+++ b/tests/membership/test_status_poll.py
@@ -31,7 +31,7 @@
 class Status:
     """Stands in for the wire: an answer's body says whether the endpoint leaves."""
 
-    def encode_status_question(self):
+    def encode_status_request(self):
         return b"GET", b"/status"
 
     def decode_status(self, status, body):
--- a/tests/platform/test_decode.py
+++ b/tests/platform/test_decode.py
@@ -8,7 +8,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from guavacleat.forwarding.messages import EndpointOrder, ResumePoint
+from guavacleat.forwarding.messages import ForwardingMetadata, ResumePoint
 from guavacleat.lengths import LengthForecast
 from guavacleat.membership.registry import EndpointState
 from guavacleat.peers.report import GatewayReport, decode_report, encode_report
@@ -16,9 +16,9 @@
 from guavacleat.platform.decode import decode_configuration, decode_endpoint
 from guavacleat.platform.engines import decode_move, decode_status, encode_move
 from guavacleat.platform.headers import (
-    answer_facts,
-    caller_facts,
     endpoint_headers,
+    parse_request_metadata,
+    parse_response_metadata,
     refusal_headers,
 )
 from guavacleat.routes import RequestKind
@@ -204,8 +204,8 @@
     Sequence: a caller sends a header that is the system's to set.
     Cause: forwarding what callers send would obey it.
     """
-    order = EndpointOrder("i-1", 1.5, account="t1")
-    headers = endpoint_headers([(name, value), (b"x-own", b"kept")], order)
+    metadata = ForwardingMetadata("i-1", 1.5, account="t1")
+    headers = endpoint_headers([(name, value), (b"x-own", b"kept")], metadata)
     assert (name, value) not in headers
     assert (b"x-own", b"kept") in headers
     values = dict(headers)
@@ -215,14 +215,14 @@
 
 
 def test_a_resumed_request_names_its_copy_and_last_event():
-    order = EndpointOrder("i-1", 1.5, resume=ResumePoint(("10.0.0.1", 80), "h7", 42))
-    values = dict(endpoint_headers([(b"last-event-id", b"1")], order))
+    metadata = ForwardingMetadata("i-1", 1.5, resume=ResumePoint(("10.0.0.1", 80), "h7", 42))
+    values = dict(endpoint_headers([(b"last-event-id", b"1")], metadata))
     assert values[b"kv-from"] == b"10.0.0.1:80/h7"
     assert values[b"last-event-id"] == b"42"
 
 
 def test_caller_facts_are_decoded():
-    facts = caller_facts(
+    metadata = parse_request_metadata(
         [
             (b"attempt-id", b"r1"),
             (b"key", b"k1"),
@@ -232,20 +232,20 @@
             (b"prompt-prefix", b"5c1e07a2:800,91bd3f06:410"),
         ]
     )
-    assert (facts.id, facts.key, facts.patience) == ("r1", "k1", 1.5)
-    assert (facts.prompt_tokens, facts.max_output_tokens) == (1460, 80)
-    assert facts.expected_output_tokens == 60.0
-    assert [(part.id, part.tokens) for part in facts.prompt_parts] == [
+    assert (metadata.id, metadata.key, metadata.caller_timeout) == ("r1", "k1", 1.5)
+    assert (metadata.prompt_tokens, metadata.max_output_tokens) == (1460, 80)
+    assert metadata.expected_output_tokens == 60.0
+    assert [(part.id, part.tokens) for part in metadata.prompt_parts] == [
         ("5c1e07a2", 800),
         ("91bd3f06", 410),
     ]
 
 
 def test_answer_facts_are_decoded():
-    facts = answer_facts([(b"attempt-id", b"r1"), (b"response-seal", b"s")])
-    assert (facts.request_id, facts.sealed, facts.not_run) == ("r1", True, False)
-    assert answer_facts([(b"not-executed", b"1")]).not_run
-    assert answer_facts([(b"content-encoding", b"gzip")]).encoded
+    metadata = parse_response_metadata([(b"attempt-id", b"r1"), (b"response-seal", b"s")])
+    assert (metadata.request_id, metadata.signed, metadata.not_run) == ("r1", True, False)
+    assert parse_response_metadata([(b"not-executed", b"1")]).not_run
+    assert parse_response_metadata([(b"content-encoding", b"gzip")]).encoded
 
 
 def test_a_refusal_names_the_request_and_when_to_come_back():
@@ -278,14 +278,16 @@
     Cause: the sum went beyond what a report can carry, and writing reports ended with an error.
     """
     value = number + b"," + number if name == b"token-usage" else number
-    facts = caller_facts([(name, b"ab:" + number if name == b"prompt-prefix" else value)])
-    held = LengthForecast(facts.max_output_tokens or 1).expected_length(
-        0, facts.expected_output_tokens
+    metadata = parse_request_metadata(
+        [(name, b"ab:" + number if name == b"prompt-prefix" else value)]
     )
-    load = EndpointLoad(1, facts.prompt_tokens + held, facts.prompt_tokens)
+    held = LengthForecast(metadata.max_output_tokens or 1).expected_length(
+        0, metadata.expected_output_tokens
+    )
+    load = EndpointLoad(1, metadata.prompt_tokens + held, metadata.prompt_tokens)
     decoded = decode_report(encode_report(GatewayReport("g", 1, 1, {"e": load})))
-    assert decoded.loads_by_endpoint["e"].peak_tokens == facts.prompt_tokens + held >= 0
-    assert facts.patience is None or 0 <= facts.patience < float("inf")
+    assert decoded.loads_by_endpoint["e"].peak_tokens == metadata.prompt_tokens + held >= 0
+    assert metadata.caller_timeout is None or 0 <= metadata.caller_timeout < float("inf")
 
 
 @given(
@@ -300,9 +302,9 @@
 )
 def test_any_header_values_decode(headers):
     """Callers may send anything: what cannot be read counts as not said."""
-    facts = caller_facts(headers)
-    assert facts.patience is None or facts.patience >= 0
-    answer_facts(headers)
+    metadata = parse_request_metadata(headers)
+    assert metadata.caller_timeout is None or metadata.caller_timeout >= 0
+    parse_response_metadata(headers)
 
 
 def test_parts_that_are_null_or_written_as_floats_are_taken():
--- a/tests/quarantine/crashing_fleet.py
+++ b/tests/quarantine/crashing_fleet.py
@@ -175,7 +175,7 @@
             source.store = self.links[instance] = StoreLink(self.store)
         gateway = IngressService(self.network, settings, NativeWire(), source, "/ready")
         # The same draws in each run of a test.
-        for part in (gateway.dispatch, gateway.parts.placement, gateway.parts.queue):
+        for part in (gateway.dispatch, gateway.context.placement, gateway.context.queue):
             part.random = random.Random(f"{self.seed} {instance}")
         gateway.start()
         self.gateways[instance] = gateway
@@ -191,7 +191,7 @@
             port.stopListening()
         for connection in list(gateway.callers.connections):
             connection.transport.abortConnection()
-        gateway.parts.pool.close()
+        gateway.context.pool.close()
 
     @property
     def crashes(self):
