--- a/src/guavacleat/ingress/service.py
+++ b/src/guavacleat/ingress/service.py
@@ -105,7 +105,7 @@
             self.peers,
             settings.instance,
         )
-        self.callers = CallerListener(reactor, self.dispatch.handle, self._caller_limits)
+        self.caller_listener = CallerListener(reactor, self.dispatch.handle, self._caller_limits)
         self.questions = CallerListener(reactor, self._answer_question, CallerLimits)
         self.ports = []
 
@@ -144,7 +144,7 @@
         """Learn routes and endpoints, and listen."""
         self.source.start(self)
         self.endpoint_poll.start()
-        self._listen(self.settings.caller_address, self.callers)
+        self._listen(self.settings.caller_address, self.caller_listener)
         self._listen(self.settings.readiness_address, self.questions)
         if self.metrics_port is not None:
             self._listen((self.settings.ip, self.metrics_port), self.questions)
@@ -189,7 +189,7 @@
     def stop(self):
         """Graceful stop: no longer ready, serve what comes and what runs, then close."""
         self.stopping = True
-        self.callers.closing = True
+        self.caller_listener.closing = True
         began = self.reactor.seconds()
         log_message(message_type="process:stopping", in_flight=self.dispatch.in_flight)
         grace = self.settings.bounds.stop_grace - STOP_RESERVE_SECONDS
@@ -200,7 +200,7 @@
             if waited >= grace or (waited >= STOP_NOTICE_SECONDS and not self.dispatch.in_flight):
                 break
             yield task.deferLater(self.reactor, STOP_POLL_SECONDS)
-        self.callers.close_idle()
+        self.caller_listener.close_idle()
         self.source.stop()
         self.endpoint_poll.stop()
         for port in self.ports:
--- a/tests/quarantine/crashing_fleet.py
+++ b/tests/quarantine/crashing_fleet.py
@@ -189,7 +189,7 @@
         gateway.endpoint_poll.stop()
         for port in gateway.ports:
             port.stopListening()
-        for connection in list(gateway.callers.connections):
+        for connection in list(gateway.caller_listener.connections):
             connection.transport.abortConnection()
         gateway.context.pool.close()
 
