--- a/src/guavacleat/gateway/service.py
+++ b/src/guavacleat/gateway/service.py
@@ -13,7 +13,7 @@
 from guavacleat.gateway.sidecars import SidecarPool
 from guavacleat.idempotency import CallRecords
 from guavacleat.membership import MembershipView
-from guavacleat.membership.instances import InstancePoll
+from guavacleat.membership.instances import InstancePoller
 from guavacleat.membership.records import ENDPOINT_KIND
 from guavacleat.metrics import StreamMetrics
 from guavacleat.routing import get_router_by_name
@@ -74,7 +74,7 @@
                 pause=lambda: ENDPOINT_WATCH_PAUSE,
             ),
         ]
-        self.instance_poll = InstancePoll(reactor, self.store, self.membership.instances_leaving)
+        self.instance_poll = InstancePoller(reactor, self.store, self.membership.instances_leaving)
         self.in_flight = 0
         self.stopping = False
         self.port = None
--- a/src/guavacleat/membership/instances.py
+++ b/src/guavacleat/membership/instances.py
@@ -6,13 +6,13 @@
 from guavacleat.periodic import Periodic
 from guavacleat.store import StoreClient, StoreUnavailableError
 
-__all__ = ["InstancePoll", "POLL_SECONDS", "LEAVING"]
+__all__ = ["InstancePoller", "POLL_SECONDS", "LEAVING"]
 
 POLL_SECONDS = 1.0
 LEAVING = "leaving"
 
 
-class InstancePoll:
+class InstancePoller:
     """Calls ``on_leaving(set of instance names)`` after each answer of the platform's list."""
 
     def __init__(self, clock: IReactorTime, store: StoreClient, on_leaving):
--- a/tests/membership/test_view.py
+++ b/tests/membership/test_view.py
@@ -3,7 +3,7 @@
 from collections import Counter
 
 from guavacleat.membership import MembershipView
-from guavacleat.membership.instances import InstancePoll
+from guavacleat.membership.instances import InstancePoller
 from guavacleat.membership.lease import LEASE_SECONDS
 from guavacleat.membership.view import SUBSET
 from tests.conftest import result_of
@@ -87,7 +87,7 @@
     Cause: the list was not read; and it names instances, not endpoints.
     """
     view = MembershipView(clock)
-    poll = InstancePoll(clock, store, view.instances_leaving)
+    poll = InstancePoller(clock, store, view.instances_leaving)
     view.observe(dict(record("keur-llm-1"), instance="i-1"))
     store_app.instances.change("i-1", "leaving")
     clock.advance(store_app.instances.lag)
