--- a/src/guavacleat/forwarding/isolation.py
+++ b/src/guavacleat/forwarding/isolation.py
@@ -3,7 +3,7 @@
 from guavacleat.forwarding.refusals import RefusalError, RefusalReason
 from guavacleat.forwarding.request import ForwardedRequest
 from guavacleat.membership.registry import EndpointEntry
-from guavacleat.quarantine import Standing, StandingKind
+from guavacleat.quarantine import QuarantineState, QuarantineStatus
 
 __all__ = ["check_quarantine", "may_resume_at", "place_isolated"]
 
@@ -11,31 +11,31 @@
 RETRY_AFTER_NOT_QUIET = 1.0
 
 
-def check_quarantine(context, request: ForwardedRequest) -> Standing:
-    """The request's standing; raise :class:`RefusalError` if it must not run now."""
-    standing = context.quarantine.standing(request)
-    if standing.kind is StandingKind.REFUSED:
-        raise _refusal(standing, standing.retry_after)
-    return standing
+def check_quarantine(context, request: ForwardedRequest) -> QuarantineStatus:
+    """The request's status; raise :class:`RefusalError` if it must not run now."""
+    status = context.quarantine.status(request)
+    if status.state is QuarantineState.REFUSED:
+        raise _refusal(status, status.retry_after)
+    return status
 
 
 def place_isolated(context, request: ForwardedRequest, tried: set[str]) -> EndpointEntry | None:
     """Where a request runs that must not share an endpoint with many; None if none has room."""
-    standing = check_quarantine(context, request)
+    status = check_quarantine(context, request)
     entry = context.placement.least_loaded(request, tried)
-    if entry is not None and standing.convicted and not context.placement.is_lightly_loaded(entry):
-        raise _refusal(standing, RETRY_AFTER_NOT_QUIET)
+    if entry is not None and status.quarantined and not context.placement.is_lightly_loaded(entry):
+        raise _refusal(status, RETRY_AFTER_NOT_QUIET)
     return entry
 
 
 def may_resume_at(context, request: ForwardedRequest, entry: EndpointEntry) -> bool:
     """Whether a run that broke off may be resumed at ``entry``."""
-    kind = context.quarantine.standing(request).kind
-    if kind is StandingKind.APART:
+    kind = context.quarantine.status(request).state
+    if kind is QuarantineState.ISOLATED:
         return context.placement.is_lightly_loaded(entry)
-    return kind is StandingKind.FREE
+    return kind is QuarantineState.FREE
 
 
-def _refusal(standing: Standing, retry_after: float) -> RefusalError:
-    detail = f"{standing.crashes:g} endpoints ended under it"
+def _refusal(status: QuarantineStatus, retry_after: float) -> RefusalError:
+    detail = f"{status.crashes:g} endpoints ended under it"
     return RefusalError(RefusalReason.QUARANTINED, retry_after, detail)
--- a/src/guavacleat/forwarding/opening.py
+++ b/src/guavacleat/forwarding/opening.py
@@ -46,7 +46,7 @@
             return None
         backup = self._place_backup(entry) if protect else None
         self._log_placed(entry, backup, resume)
-        self.context.quarantine.sent(self.request, entry.id)
+        self.context.quarantine.request_sent(self.request, entry.id)
         leg = Leg(entry, self.request.metadata.id, self.context.wire, self.session)
         leg.connection, leg.run, leg.backup = connection, run, backup
         leg.began = self.context.clock.seconds()
@@ -74,10 +74,10 @@
             # It may have crashed: for some seconds nothing new goes there, nor a backup.
             self.context.load.record_failure(leg.entry.id)
         if leg.broke_off:
-            self.context.quarantine.broken(self.request, leg.entry.id, leg.began)
+            self.context.quarantine.request_interrupted(self.request, leg.entry.id, leg.began)
         elif end is LegEnd.COMPLETE:
-            self.context.quarantine.completed(self.request)
-        self.context.quarantine.over(self.request)
+            self.context.quarantine.request_completed(self.request)
+        self.context.quarantine.run_finished(self.request)
         return end
 
     def _place_backup(self, entry: EndpointEntry) -> HeldCopy | None:
@@ -85,7 +85,7 @@
         engine = self.request.traits.engine
         if engine is None or not engine.backups or not self.memory.worth_moving():
             return None
-        if not self.context.quarantine.may_share(self.request):
+        if not self.context.quarantine.is_unrestricted(self.request):
             return None
         expected = self.memory.expected_tokens()
         keeper = self.context.placement.choose_backup_target(entry, expected, engine)
--- a/src/guavacleat/forwarding/plain.py
+++ b/src/guavacleat/forwarding/plain.py
@@ -42,7 +42,7 @@
         for sends in range(MAX_SENDS):
             if sends and not self._may_send_again(request, runs):
                 break
-            if runs and not self.context.quarantine.may_share(request):
+            if runs and not self.context.quarantine.is_unrestricted(request):
                 # It has run: a suspect is not repeated, and can no longer be refused as not run.
                 break
             entry = self._place(request, tried)
@@ -66,7 +66,7 @@
         self._give_up(request, runs)
 
     def _place(self, request: ForwardedRequest, tried: set[str]) -> EndpointEntry | None:
-        if self.context.quarantine.may_share(request):
+        if self.context.quarantine.is_unrestricted(request):
             return self.context.placement.choose_for_call(request.service, tried)
         return place_isolated(self.context, request, tried)
 
@@ -114,7 +114,7 @@
         attempt_timeout = time_left
         if not last:
             attempt_timeout = min(time_left, ATTEMPT_TIMEOUT_GOALS * request.route.latency_goal)
-        context.quarantine.sent(request, entry.id)
+        context.quarantine.request_sent(request, entry.id)
         end = await self._exchange(request, entry, connection, answer, time_left, attempt_timeout)
         latency = context.clock.seconds() - began
         self._note_health(entry, end, answer, latency)
@@ -160,12 +160,12 @@
         """Tell whether the endpoint survived the request."""
         quarantine = self.context.quarantine
         if answer.broke_off:
-            quarantine.broken(request, entry.id, began)
+            quarantine.request_interrupted(request, entry.id, began)
         elif end is AttemptEnd.ANSWERED or (
             end is AttemptEnd.PASSED_ON and not request.exchange.was_cut
         ):
-            quarantine.completed(request)
-        quarantine.over(request)
+            quarantine.request_completed(request)
+        quarantine.run_finished(request)
 
     def _deliver(self, request: ForwardedRequest, answer: CheckedAnswer) -> None:
         if request.exchange.gone:
--- a/src/guavacleat/forwarding/session.py
+++ b/src/guavacleat/forwarding/session.py
@@ -144,7 +144,7 @@
     async def _place(self, tried: set[str]) -> EndpointEntry | None:
         """The endpoint to send to; None if there is none, or the caller left meanwhile."""
         request = self.request
-        if not self.context.quarantine.may_share(request):
+        if not self.context.quarantine.is_unrestricted(request):
             entry = place_isolated(self.context, request, tried)
             if entry is not None or request.traits.engine is None:
                 return entry
@@ -176,7 +176,7 @@
         """Go on where the copy is, though the present engine still runs; return whether it does."""
         if self.handover is not None or self.memory.copy is None or self.last_event is None:
             return False
-        if not self.context.quarantine.may_share(self.request):
+        if not self.context.quarantine.is_unrestricted(self.request):
             return False
         self.handover = Handover(self)
         try:
--- a/src/guavacleat/ingress/metrics.py
+++ b/src/guavacleat/ingress/metrics.py
@@ -3,7 +3,7 @@
 from aioprometheus import Counter, Gauge, Histogram, Registry
 from aioprometheus.renderer import render
 
-from guavacleat.quarantine import CrashBook
+from guavacleat.quarantine import CrashTracker
 from guavacleat.routes.holder import RouteHolder
 
 __all__ = ["IngressMetrics"]
@@ -76,10 +76,10 @@
         for kind, failures in failures_by_kind.items():
             self.watch_failures.set({"kind": kind}, failures)
 
-    def suspects(self, book: CrashBook) -> None:
+    def suspects(self, book: CrashTracker) -> None:
         """Take in what is known of requests that crash endpoints."""
-        self.crashes.set({}, sum(end.confirmed for end in book.ends))
-        self.quarantined.set({}, len(book.convicted()))
+        self.crashes.set({}, sum(end.confirmed for end in book.endpoint_crashes))
+        self.quarantined.set({}, len(book.quarantined_fingerprints()))
 
     def spent(self, traffic) -> None:
         """Take in a :class:`~guavacleat.ingress.sources.ControlTraffic`."""
--- a/src/guavacleat/ingress/service.py
+++ b/src/guavacleat/ingress/service.py
@@ -17,7 +17,7 @@
 from guavacleat.migration import Evacuator
 from guavacleat.peers import PeerTable
 from guavacleat.placement import LoadTracker, Placement
-from guavacleat.quarantine import CrashBook, QuarantineGuard
+from guavacleat.quarantine import CrashTracker, QuarantineGuard
 from guavacleat.retries import RetryBudget
 from guavacleat.routes import CallerLimits
 from guavacleat.routes.holder import RouteHolder
@@ -73,7 +73,7 @@
         self.peers = PeerTable(reactor)
         self.load.peers = self.peers
         self.metrics = IngressMetrics()
-        self.crashes = CrashBook(reactor)
+        self.crashes = CrashTracker(reactor)
         quarantine = QuarantineGuard(reactor, self.crashes, EndpointProbe(self.pool, self.registry))
         placement = Placement(
             self.registry, self.load, settings.data_centre, avoided=quarantine.trial_endpoints
@@ -111,13 +111,13 @@
 
     def _endpoint_leaving(self, entry) -> None:
         announced = entry.state is EndpointState.DRAINING
-        self.context.quarantine.left(entry.id, announced)
+        self.context.quarantine.endpoint_removed(entry.id, announced)
         self.load.forget(entry.id)
         self.pool.drop(entry.address)
         self.evacuator.endpoint_leaving(entry)
 
     def _endpoint_restarted(self, former) -> None:
-        self.context.quarantine.left(former.id, announced=False)
+        self.context.quarantine.endpoint_removed(former.id, announced=False)
         self.load.forget(former.id)
         self.pool.drop(former.address)
         self.evacuator.endpoint_restarted(former)
--- a/src/guavacleat/peers/crashes.py
+++ b/src/guavacleat/peers/crashes.py
@@ -6,7 +6,7 @@
 """
 
 from guavacleat.protocol.gen.peers import ttypes
-from guavacleat.quarantine import CrashBook
+from guavacleat.quarantine import CrashTracker
 
 __all__ = ["CrashGossip"]
 
@@ -16,9 +16,9 @@
 
 
 class CrashGossip:
-    """Turns a gateway's :class:`~guavacleat.quarantine.CrashBook` into reports and back."""
+    """Turns a gateway's :class:`~guavacleat.quarantine.CrashTracker` into reports and back."""
 
-    def __init__(self, clock, book: CrashBook):
+    def __init__(self, clock, book: CrashTracker):
         self.clock = clock
         self.book = book
 
@@ -31,9 +31,9 @@
         :param forwards: whether to pass on what others saw.
         :param everything: whether to tell of each request that is refused, however long ago.
         """
-        ends = self.book.recent_ends(seconds, witnessed_only=not forwards)
+        ends = self.book.recent_crashes(seconds, local_only=not forwards)
         if everything and forwards:
-            ends = list(dict.fromkeys([*self.book.convicting_ends(), *ends]))
+            ends = list(dict.fromkeys([*self.book.quarantining_crashes(), *ends]))
         trials = [trial for trial in self.book.trials() if trial.own or forwards]
         clearances = self.book.recent_clearances(seconds)[:CLEARANCES_TOLD]
         if not (ends or trials or clearances):
@@ -51,11 +51,11 @@
         """Take in what a peer told."""
         # In this order: what was cleared must not be charged again.
         for clearance in message.clearances or ():
-            self.book.learn_completed(clearance.fingerprint, clearance.age)
+            self.book.merge_completion(clearance.fingerprint, clearance.age)
         for end in message.ends or ():
-            self.book.learn(end.endpoint, end.age, end.fingerprints, bool(end.restored))
+            self.book.merge_crash(end.endpoint, end.age, end.fingerprints, bool(end.restored))
         for trial in message.trials or ():
-            self.book.learn_trial(trial.fingerprint, trial.endpoint, trial.age)
+            self.book.merge_trial(trial.fingerprint, trial.endpoint, trial.age)
 
     def _bounded(self, ends) -> list[ttypes.EndpointEnd]:
         told, left = [], MAX_FINGERPRINTS_PER_REPORT
--- a/src/guavacleat/peers/exchange.py
+++ b/src/guavacleat/peers/exchange.py
@@ -15,7 +15,7 @@
 from guavacleat.peers.sync import ConfigurationSyncState, EndpointSyncState
 from guavacleat.peers.table import PeerTable
 from guavacleat.placement import LoadTracker
-from guavacleat.quarantine import CrashBook
+from guavacleat.quarantine import CrashTracker
 
 __all__ = ["PeerExchange"]
 
@@ -65,7 +65,7 @@
     :param directory: this gateway's :class:`~.directory.GatewayDirectory`.
     :param configuration: a :class:`~.sync.ConfigurationSyncState`.
     :param endpoints: an :class:`~.sync.EndpointSyncState`.
-    :param crashes: this gateway's :class:`~guavacleat.quarantine.CrashBook`.
+    :param crashes: this gateway's :class:`~guavacleat.quarantine.CrashTracker`.
     :param on_heard: called after each report was taken in.
     """
 
@@ -78,7 +78,7 @@
         registry: EndpointRegistry,
         configuration: ConfigurationSyncState,
         endpoints: EndpointSyncState,
-        crashes: CrashBook,
+        crashes: CrashTracker,
         on_heard=lambda: None,
     ):
         self.reactor = reactor
@@ -106,8 +106,8 @@
         self._heartbeat.clock = reactor
         load.listeners.append(self.change)
         registry.on_change = self._endpoint_changed
-        crashes.on_change = self._endpoint_changed
-        crashes.on_learnt = self.summaries.endpoint_changed
+        crashes.on_local_change = self._endpoint_changed
+        crashes.on_remote_change = self.summaries.endpoint_changed
 
     def startProtocol(self):  # noqa: N802 - Twisted's name
         self._heartbeat.start(HEARTBEAT_SECONDS, now=False)
--- a/src/guavacleat/quarantine/__init__.py
+++ b/src/guavacleat/quarantine/__init__.py
@@ -1,16 +1,16 @@
 """Recognising requests that crash the endpoints that run them, and keeping them from more."""
 
-from guavacleat.quarantine.book import CrashBook
 from guavacleat.quarantine.fingerprint import fingerprint, format_fingerprint
 from guavacleat.quarantine.guard import Liveness, QuarantineGuard
-from guavacleat.quarantine.messages import Standing, StandingKind
+from guavacleat.quarantine.messages import QuarantineState, QuarantineStatus
+from guavacleat.quarantine.tracker import CrashTracker
 
 __all__ = [
-    "CrashBook",
+    "CrashTracker",
     "Liveness",
     "QuarantineGuard",
-    "Standing",
-    "StandingKind",
+    "QuarantineStatus",
+    "QuarantineState",
     "fingerprint",
     "format_fingerprint",
 ]
--- a/src/guavacleat/quarantine/guard.py
+++ b/src/guavacleat/quarantine/guard.py
@@ -10,8 +10,8 @@
 from eliot import log_message
 from twisted.internet import defer
 
-from guavacleat.quarantine.book import CrashBook
-from guavacleat.quarantine.messages import EndpointEnd, Standing, StandingKind
+from guavacleat.quarantine.messages import EndpointCrash, QuarantineState, QuarantineStatus
+from guavacleat.quarantine.tracker import CrashTracker
 
 __all__ = ["Liveness", "QuarantineGuard"]
 
@@ -28,7 +28,7 @@
 
 
 class QuarantineGuard:
-    """Tells forwarding how to treat a request, and the :class:`~.book.CrashBook` how it ended.
+    """Tells forwarding how to treat a request, and the :class:`CrashTracker` how it ended.
 
     Requests are anything with a ``content_key``, their fingerprint; endpoints are named by their
     ids, times are the clock's.
@@ -36,44 +36,44 @@
     :param probe: coroutine function that tries an endpoint and returns its :class:`Liveness`.
     """
 
-    def __init__(self, clock, book: CrashBook, probe):
+    def __init__(self, clock, book: CrashTracker, probe):
         self.clock = clock
         self.book = book
         self.probe = probe
         # Ends that are not confirmed yet, by endpoint id.
-        self._open_by_endpoint: dict[str, EndpointEnd] = {}
+        self._open_by_endpoint: dict[str, EndpointCrash] = {}
 
-    def standing(self, request) -> Standing:
+    def status(self, request) -> QuarantineStatus:
         """How the request is treated now."""
-        if not self.book.ends_by_fingerprint:
-            return Standing(StandingKind.FREE)
-        return self.book.standing(request.content_key)
+        if not self.book.crashes_by_fingerprint:
+            return QuarantineStatus(QuarantineState.FREE)
+        return self.book.status(request.content_key)
 
-    def may_share(self, request) -> bool:
+    def is_unrestricted(self, request) -> bool:
         """Whether the request may run anywhere, whatever else runs there."""
-        return self.standing(request).kind is StandingKind.FREE
+        return self.status(request).state is QuarantineState.FREE
 
-    def sent(self, request, endpoint: str) -> None:
+    def request_sent(self, request, endpoint: str) -> None:
         """The request is sent to the endpoint of this id."""
-        if self.standing(request).kind is StandingKind.APART:
+        if self.status(request).state is QuarantineState.ISOLATED:
             self.book.begin_trial(request.content_key, endpoint)
 
-    def over(self, request) -> None:
+    def run_finished(self, request) -> None:
         """The request's run on an endpoint is over, whatever its end."""
         if self.book.trials_by_fingerprint:
             self.book.end_trial(request.content_key)
 
-    def completed(self, request) -> None:
+    def request_completed(self, request) -> None:
         """An endpoint ran the request to its end and lives."""
-        if self.book.ends_by_fingerprint:
-            self.book.completed(request.content_key)
+        if self.book.crashes_by_fingerprint:
+            self.book.request_completed(request.content_key)
 
-    def broken(self, request, endpoint: str, began: float) -> None:
+    def request_interrupted(self, request, endpoint: str, began: float) -> None:
         """The request was broken off by the endpoint, not by this gateway or the caller.
 
         :param began: clock time at which it was sent there.
         """
-        end = self.book.broken(endpoint, request.content_key, began)
+        end = self.book.request_interrupted(endpoint, request.content_key, began)
         if end.confirmed or self._open_by_endpoint.get(endpoint) is end:
             return
         self._open_by_endpoint[endpoint] = end
@@ -81,7 +81,7 @@
         trying = defer.Deferred.fromCoroutine(self._try(endpoint, end))
         trying.addErrback(self._note_error)
 
-    def left(self, endpoint: str, announced: bool) -> None:
+    def endpoint_removed(self, endpoint: str, announced: bool) -> None:
         """Membership has removed or restarted an endpoint.
 
         :param announced: whether it had said that it leaves: then it did not crash.
@@ -94,19 +94,19 @@
         """Ids of endpoints that a trial may end: nothing else should begin there."""
         return {trial.endpoint for trial in self.book.trials()}
 
-    async def _try(self, endpoint: str, end: EndpointEnd) -> None:
+    async def _try(self, endpoint: str, end: EndpointCrash) -> None:
         found = await self.probe(endpoint)
         if found is not Liveness.UNKNOWN:
             self._settle(endpoint, end, found)
 
-    def _settle(self, endpoint: str, end: EndpointEnd, found: Liveness) -> None:
+    def _settle(self, endpoint: str, end: EndpointCrash, found: Liveness) -> None:
         if self._open_by_endpoint.get(endpoint) is not end:
             return
         del self._open_by_endpoint[endpoint]
         if found is Liveness.ENDED:
             self.book.confirm(end)
         else:
-            self.book.withdraw(end)
+            self.book.discard(end)
 
     def _note_error(self, failure) -> None:
         log_message(message_type="quarantine:error", error=failure.getTraceback())
--- a/src/guavacleat/quarantine/messages.py
+++ b/src/guavacleat/quarantine/messages.py
@@ -2,10 +2,10 @@
 
 import enum
 
-__all__ = ["Clearance", "EndpointEnd", "Standing", "StandingKind", "Trial"]
+__all__ = ["Clearance", "EndpointCrash", "QuarantineStatus", "QuarantineState", "Trial"]
 
 
-class EndpointEnd:
+class EndpointCrash:
     """One unplanned end of an endpoint, and the requests that it broke off.
 
     :param endpoint: the endpoint's id; one that starts again under its id ends more than once.
@@ -14,7 +14,7 @@
     :param confirmed: false while the endpoint may still turn out to be alive.
     :param restored: true if it stands for an end that a record in the store counts.
     :ivar learned_at: clock time at which this gateway last learnt something of it.
-    :ivar witnessed: true if a request of this gateway was in flight there.
+    :ivar observed_locally: true if a request of this gateway was in flight there.
     """
 
     __slots__ = (
@@ -24,7 +24,7 @@
         "confirmed",
         "restored",
         "learned_at",
-        "witnessed",
+        "observed_locally",
     )
 
     def __init__(
@@ -41,7 +41,7 @@
         self.confirmed = confirmed
         self.restored = restored
         self.learned_at = at
-        self.witnessed = False
+        self.observed_locally = False
 
 
 class Trial:
@@ -71,32 +71,34 @@
         self.learned_at = learned_at
 
 
-class StandingKind(enum.Enum):
+class QuarantineState(enum.Enum):
     """How a request is treated."""
 
     FREE = "free"
-    APART = "only where little else runs"
+    ISOLATED = "only where little else runs"
     REFUSED = "refused"
 
 
-class Standing:
+class QuarantineStatus:
     """How a request is treated now.
 
     :param crashes: ends of endpoints that are put down to it.
     :param retry_after: seconds after which one that is refused may come back.
     """
 
-    __slots__ = ("kind", "crashes", "retry_after")
+    __slots__ = ("state", "crashes", "retry_after")
 
-    def __init__(self, kind: StandingKind, crashes: float = 0.0, retry_after: float | None = None):
-        self.kind = kind
+    def __init__(
+        self, state: QuarantineState, crashes: float = 0.0, retry_after: float | None = None
+    ):
+        self.state = state
         self.crashes = crashes
         self.retry_after = retry_after
 
     @property
-    def convicted(self) -> bool:
-        return self.crashes >= CONVICTING_CRASHES
+    def quarantined(self) -> bool:
+        return self.crashes >= QUARANTINE_CRASHES
 
 
 # Ends of endpoints after which a request is refused: fewer happen to sound ones by chance.
-CONVICTING_CRASHES = 3
+QUARANTINE_CRASHES = 3
--- a/src/guavacleat/quarantine/record.py
+++ b/src/guavacleat/quarantine/record.py
@@ -9,8 +9,8 @@
 from eliot import log_message
 from twisted.internet import defer
 
-from guavacleat.quarantine.book import CrashBook
 from guavacleat.quarantine.fingerprint import format_fingerprint, parse_fingerprint
+from guavacleat.quarantine.tracker import CrashTracker
 from guavacleat.store import ConflictError, StoreUnavailableError
 from guavacleat.store.messages import MUST_NOT_EXIST
 
@@ -35,7 +35,7 @@
     :param is_reader: returns whether reading is this gateway's task.
     """
 
-    def __init__(self, clock, store, book: CrashBook, is_reader):
+    def __init__(self, clock, store, book: CrashTracker, is_reader):
         self.is_reader = is_reader
         self.clock = clock
         self.store = store
@@ -44,7 +44,7 @@
         # Ends by fingerprint still to be written; None for a request to be taken out.
         self._changes: dict[int, int | None] = {}
         self._writing = False
-        book.on_convicted = self.convicted
+        book.on_quarantined = self.quarantined
         book.on_cleared = self.cleared
 
     def start(self) -> None:
@@ -56,11 +56,11 @@
     def store_restored(self) -> None:
         """The store came back from a copy: write again what it may have lost."""
         if self.is_reader():
-            for fingerprint in self.book.convicted():
-                self.convicted(fingerprint)
+            for fingerprint in self.book.quarantined_fingerprints():
+                self.quarantined(fingerprint)
 
-    def convicted(self, fingerprint: int) -> None:
-        self._change(fingerprint, int(self.book.crashes(fingerprint)))
+    def quarantined(self, fingerprint: int) -> None:
+        self._change(fingerprint, int(self.book.crash_count(fingerprint)))
 
     def cleared(self, fingerprint: int) -> None:
         self._change(fingerprint, None)
@@ -84,12 +84,12 @@
             log_message(message_type="quarantine:not-read", error=str(exc))
             self.clock.callLater(RETRY_SECONDS, self._begin, self._read)
             return
-        crashes_by_fingerprint = _decode(stored)
-        newest = list(crashes_by_fingerprint.items())[-REQUESTS_RESTORED:]
+        counts_by_fingerprint = _decode(stored)
+        newest = list(counts_by_fingerprint.items())[-REQUESTS_RESTORED:]
         for fingerprint, crashes in newest:
             self.book.restore(fingerprint, crashes)
-        if crashes_by_fingerprint:
-            log_message(message_type="quarantine:restored", requests=len(crashes_by_fingerprint))
+        if counts_by_fingerprint:
+            log_message(message_type="quarantine:restored", requests=len(counts_by_fingerprint))
 
     async def _write(self) -> None:
         """Bring the changes into what the store holds, until it has them."""
@@ -123,8 +123,8 @@
     return dict(list(kept.items())[-REQUESTS_KEPT:])
 
 
-def _encode(crashes_by_fingerprint: dict[int, int]) -> dict:
-    named = {format_fingerprint(key): crashes for key, crashes in crashes_by_fingerprint.items()}
+def _encode(counts_by_fingerprint: dict[int, int]) -> dict:
+    named = {format_fingerprint(key): crashes for key, crashes in counts_by_fingerprint.items()}
     return {"crashes": named}
 
 
--- a/src/guavacleat/quarantine/book.py
+++ b/src/guavacleat/quarantine/tracker.py
@@ -17,15 +17,15 @@
 
 from guavacleat.quarantine.fingerprint import format_fingerprint
 from guavacleat.quarantine.messages import (
-    CONVICTING_CRASHES,
+    QUARANTINE_CRASHES,
     Clearance,
-    EndpointEnd,
-    Standing,
-    StandingKind,
+    EndpointCrash,
+    QuarantineState,
+    QuarantineStatus,
     Trial,
 )
 
-__all__ = ["CrashBook"]
+__all__ = ["CrashTracker"]
 
 # From so many ends on a request runs apart from others, one at a time.
 SUSPECTING_CRASHES = 2
@@ -43,67 +43,70 @@
 # A request that was in flight at one end is suspected for so long.
 MEMORY_SECONDS = 600.0
 # Bounds of memory: so many ends with so many requests each are a few megabytes.
-ENDS_KEPT = 256
-FINGERPRINTS_PER_END = 32
-CLEARANCES_KEPT = 1024
+MAX_CRASHES = 256
+MAX_FINGERPRINTS_PER_CRASH = 32
+MAX_CLEARANCES = 1024
 
 
-class CrashBook:
+class CrashTracker:
     """Ends of endpoints and what was in flight there, as far as this gateway knows.
 
     Requests are named by their fingerprints. Times are the clock's; seconds.
 
-    :ivar on_change: called when this gateway saw something to tell peers.
-    :ivar on_learnt: called when it learnt something new from a peer.
-    :ivar on_convicted: called with a request that an end seen here makes one that is refused.
+    :ivar on_local_change: called when this gateway saw something to tell peers.
+    :ivar on_remote_change: called when it learnt something new from a peer.
+    :ivar on_quarantined: called with a request that an end seen here makes one that is refused.
     :ivar on_cleared: called with such a request when it ran to its end here.
     :ivar changed_at: time at which there was last something to tell.
     """
 
     def __init__(self, clock: IReactorTime):
         self.clock = clock
-        self.on_change = lambda: None
-        self.on_learnt = lambda: None
-        self.on_convicted = lambda fingerprint: None
+        self.on_local_change = lambda: None
+        self.on_remote_change = lambda: None
+        self.on_quarantined = lambda fingerprint: None
         self.on_cleared = lambda fingerprint: None
         self.changed_at = float("-inf")
-        self.ends: list[EndpointEnd] = []
-        self.ends_by_fingerprint: dict[int, list[EndpointEnd]] = {}
+        self.endpoint_crashes: list[EndpointCrash] = []
+        self.crashes_by_fingerprint: dict[int, list[EndpointCrash]] = {}
         self.trials_by_fingerprint: dict[int, Trial] = {}
         # Oldest first.
         self.clearances_by_fingerprint: collections.OrderedDict[int, Clearance] = (
             collections.OrderedDict()
         )
 
-    def standing(self, fingerprint: int) -> Standing:
+    def status(self, fingerprint: int) -> QuarantineStatus:
         """How a request with this fingerprint is treated now."""
-        if fingerprint not in self.ends_by_fingerprint:
-            return Standing(StandingKind.FREE)
-        crashes = self._crashes(fingerprint)
+        if fingerprint not in self.crashes_by_fingerprint:
+            return QuarantineStatus(QuarantineState.FREE)
+        crashes = self._crash_count(fingerprint)
         if crashes < SUSPECTING_CRASHES:
-            return Standing(StandingKind.FREE, crashes)
+            return QuarantineStatus(QuarantineState.FREE, crashes)
         now = self.clock.seconds()
         if self._trial(fingerprint) is not None:
             wait = max(RETRY_AFTER_TRIAL, self._refused_until(fingerprint, crashes) - now)
-            return Standing(StandingKind.REFUSED, crashes, wait)
+            return QuarantineStatus(QuarantineState.REFUSED, crashes, wait)
         wait = self._refused_until(fingerprint, crashes) - now
         if wait > 0:
-            return Standing(StandingKind.REFUSED, crashes, wait)
-        return Standing(StandingKind.APART, crashes)
+            return QuarantineStatus(QuarantineState.REFUSED, crashes, wait)
+        return QuarantineStatus(QuarantineState.ISOLATED, crashes)
 
-    def convicted(self) -> list[int]:
+    def quarantined_fingerprints(self) -> list[int]:
         """Fingerprints of the requests that are refused, or are after another end."""
         return [
             fingerprint
-            for fingerprint, ends in self.ends_by_fingerprint.items()
-            if len(ends) >= CONVICTING_CRASHES and self._crashes(fingerprint) >= CONVICTING_CRASHES
+            for fingerprint, ends in self.crashes_by_fingerprint.items()
+            if len(ends) >= QUARANTINE_CRASHES
+            and self._crash_count(fingerprint) >= QUARANTINE_CRASHES
         ]
 
-    def crashes(self, fingerprint: int) -> float:
+    def crash_count(self, fingerprint: int) -> float:
         """Ends that are put down to the request."""
-        return self._crashes(fingerprint) if fingerprint in self.ends_by_fingerprint else 0.0
+        return self._crash_count(fingerprint) if fingerprint in self.crashes_by_fingerprint else 0.0
 
-    def broken(self, endpoint: str, fingerprint: int, began: float = float("-inf")) -> EndpointEnd:
+    def request_interrupted(
+        self, endpoint: str, fingerprint: int, began: float = float("-inf")
+    ) -> EndpointCrash:
         """A request of this gateway was broken off at ``endpoint``, which may have ended.
 
         :param began: clock time at which it was sent there; an earlier end is another one.
@@ -111,16 +114,16 @@
         now = self.clock.seconds()
         end = self._find(endpoint, now, began=began)
         if end is None:
-            end = self._add(EndpointEnd(endpoint, now, confirmed=False))
-        end.witnessed = True
+            end = self._add(EndpointCrash(endpoint, now, confirmed=False))
+        end.observed_locally = True
         self._charge(end, fingerprint)
         if end.confirmed:
             self._seen(end)
         return end
 
-    def confirm(self, end: EndpointEnd) -> None:
+    def confirm(self, end: EndpointCrash) -> None:
         """The endpoint has ended."""
-        if end.confirmed or end not in self.ends:
+        if end.confirmed or end not in self.endpoint_crashes:
             return
         end.confirmed = True
         log_message(
@@ -131,17 +134,17 @@
         )
         self._seen(end)
 
-    def withdraw(self, end: EndpointEnd) -> None:
+    def discard(self, end: EndpointCrash) -> None:
         """The endpoint lives: what broke off there says nothing of the requests."""
-        if not end.confirmed and end in self.ends:
+        if not end.confirmed and end in self.endpoint_crashes:
             self._drop(end)
 
-    def learn(self, endpoint: str, age: float, fingerprints, restored: bool = False) -> None:
+    def merge_crash(self, endpoint: str, age: float, fingerprints, restored: bool = False) -> None:
         """Take in what a peer knows of an end ``age`` seconds ago."""
         at = self.clock.seconds() - age
         end = self._find(endpoint, at, restored)
         if end is None:
-            end = self._add(EndpointEnd(endpoint, at, restored=restored))
+            end = self._add(EndpointCrash(endpoint, at, restored=restored))
         news = not end.confirmed
         end.confirmed = True
         for fingerprint in set(fingerprints) - end.fingerprints:
@@ -149,32 +152,32 @@
         if news:
             end.learned_at = self.clock.seconds()
             self._end_trials(end)
-            self._changed(self.on_learnt)
+            self._changed(self.on_remote_change)
 
     def restore(self, fingerprint: int, crashes: int) -> None:
         """Take in that a record in the store counts ``crashes`` ends, of times that are unknown."""
-        missing = crashes - len(self.ends_by_fingerprint.get(fingerprint, ()))
+        missing = crashes - len(self.crashes_by_fingerprint.get(fingerprint, ()))
         for number in range(missing):
             name = f"record:{format_fingerprint(fingerprint)}:{number}"
-            self.learn(name, 0.0, [fingerprint], restored=True)
+            self.merge_crash(name, 0.0, [fingerprint], restored=True)
 
-    def completed(self, fingerprint: int) -> None:
+    def request_completed(self, fingerprint: int) -> None:
         """A request ran to its end here."""
-        if fingerprint not in self.ends_by_fingerprint:
+        if fingerprint not in self.crashes_by_fingerprint:
             return
-        convicted = len(self.ends_by_fingerprint[fingerprint]) >= CONVICTING_CRASHES
+        quarantined = len(self.crashes_by_fingerprint[fingerprint]) >= QUARANTINE_CRASHES
         self._clear(fingerprint, self.clock.seconds())
-        self._changed(self.on_change)
-        if convicted:
+        self._changed(self.on_local_change)
+        if quarantined:
             self.on_cleared(fingerprint)
 
-    def learn_completed(self, fingerprint: int, age: float) -> None:
+    def merge_completion(self, fingerprint: int, age: float) -> None:
         """A request ran to its end at a peer, ``age`` seconds ago."""
         at = self.clock.seconds() - age
         known = self.clearances_by_fingerprint.get(fingerprint)
         if known is None or at > known.at + SAME_END_SECONDS:
             self._clear(fingerprint, at)
-            self._changed(self.on_learnt)
+            self._changed(self.on_remote_change)
 
     def begin_trial(self, fingerprint: int, endpoint: str) -> None:
         """A request that must run apart is sent to ``endpoint``."""
@@ -184,9 +187,9 @@
             message_type="quarantine:trial",
             fingerprint=format_fingerprint(fingerprint),
             endpoint=endpoint,
-            crashes=self._crashes(fingerprint),
+            crashes=self._crash_count(fingerprint),
         )
-        self._changed(self.on_change)
+        self._changed(self.on_local_change)
 
     def end_trial(self, fingerprint: int) -> None:
         """What this gateway tried is over, one way or another."""
@@ -194,41 +197,44 @@
         if trial is not None and trial.own:
             del self.trials_by_fingerprint[fingerprint]
 
-    def learn_trial(self, fingerprint: int, endpoint: str, age: float) -> None:
+    def merge_trial(self, fingerprint: int, endpoint: str, age: float) -> None:
         """A peer began a trial ``age`` seconds ago."""
         at = self.clock.seconds() - age
         known = self._trial(fingerprint)
         if known is not None or age >= TRIAL_SECONDS or self._ended_since(fingerprint, at):
             return
         self.trials_by_fingerprint[fingerprint] = Trial(fingerprint, endpoint, at, own=False)
-        self._changed(self.on_learnt)
+        self._changed(self.on_remote_change)
 
     def trials(self) -> list[Trial]:
         """Trials under way, here and at peers."""
         found = (self._trial(fingerprint) for fingerprint in list(self.trials_by_fingerprint))
         return [trial for trial in found if trial is not None]
 
-    def recent_ends(self, seconds: float, witnessed_only: bool) -> list[EndpointEnd]:
+    def recent_crashes(self, seconds: float, local_only: bool) -> list[EndpointCrash]:
         """Confirmed ends of which something was learnt in the last ``seconds``, newest first."""
         oldest = self.clock.seconds() - seconds
         return [
             end
-            for end in reversed(self.ends)
-            if end.confirmed and end.learned_at >= oldest and (end.witnessed or not witnessed_only)
+            for end in reversed(self.endpoint_crashes)
+            if end.confirmed
+            and end.learned_at >= oldest
+            and (end.observed_locally or not local_only)
         ]
 
-    def convicting_ends(self) -> list[EndpointEnd]:
+    def quarantining_crashes(self) -> list[EndpointCrash]:
         """Confirmed ends that are put down to a request which is refused."""
         ends = itertools.chain.from_iterable(
-            self.ends_by_fingerprint[fingerprint] for fingerprint in self.convicted()
+            self.crashes_by_fingerprint[fingerprint]
+            for fingerprint in self.quarantined_fingerprints()
         )
         return [end for end in dict.fromkeys(ends) if end.confirmed]
 
-    def most_suspected(self, end: EndpointEnd) -> list[int]:
+    def most_suspected(self, end: EndpointCrash) -> list[int]:
         """The requests of an end, those first that were in flight at most others."""
         return sorted(
             end.fingerprints,
-            key=lambda fingerprint: -len(self.ends_by_fingerprint[fingerprint]),
+            key=lambda fingerprint: -len(self.crashes_by_fingerprint[fingerprint]),
         )
 
     def recent_clearances(self, seconds: float) -> list[Clearance]:
@@ -240,36 +246,37 @@
         self.changed_at = self.clock.seconds()
         tell()
 
-    def _crashes(self, fingerprint: int) -> float:
+    def _crash_count(self, fingerprint: int) -> float:
         """The weights of the ends that no other request explains better."""
         blame = self._blame(fingerprint)
         return sum(
             self._weight(end, fingerprint)
-            for end in self.ends_by_fingerprint[fingerprint]
+            for end in self.crashes_by_fingerprint[fingerprint]
             if not self._is_explained(end, fingerprint, blame)
         )
 
     def _blame(self, fingerprint: int) -> float:
         """The weights of all ends at which the request was in flight."""
-        ends = self.ends_by_fingerprint[fingerprint]
+        ends = self.crashes_by_fingerprint[fingerprint]
         return sum(self._weight(end, fingerprint) for end in ends)
 
-    def _is_explained(self, end: EndpointEnd, fingerprint: int, blame: float) -> bool:
+    def _is_explained(self, end: EndpointCrash, fingerprint: int, blame: float) -> bool:
         """Whether the end is the doing of a request that is to blame for more of them."""
         likely = (
             other
             for other in end.fingerprints
-            if other != fingerprint and len(self.ends_by_fingerprint[other]) >= CONVICTING_CRASHES
+            if other != fingerprint
+            and len(self.crashes_by_fingerprint[other]) >= QUARANTINE_CRASHES
         )
-        return any(self._blame(other) >= max(CONVICTING_CRASHES, blame + 1) for other in likely)
+        return any(self._blame(other) >= max(QUARANTINE_CRASHES, blame + 1) for other in likely)
 
-    def _weight(self, end: EndpointEnd, fingerprint: int) -> float:
+    def _weight(self, end: EndpointCrash, fingerprint: int) -> float:
         """What an end counts against one of the requests in flight there."""
         if end.restored:
             return 1.0
         beside = (
             other
-            for other in self.ends
+            for other in self.endpoint_crashes
             if not other.restored
             and abs(other.at - end.at) <= COMMON_SECONDS
             and fingerprint not in other.fingerprints
@@ -278,10 +285,10 @@
 
     def _refused_until(self, fingerprint: int, crashes: float) -> float:
         """Clock time until which the request is refused; the past if it is not."""
-        beyond = int(crashes) - CONVICTING_CRASHES
+        beyond = int(crashes) - QUARANTINE_CRASHES
         if beyond < 0:
             return float("-inf")
-        last = max(end.at for end in self.ends_by_fingerprint[fingerprint])
+        last = max(end.at for end in self.crashes_by_fingerprint[fingerprint])
         return last + QUARANTINE_SECONDS[min(beyond, len(QUARANTINE_SECONDS) - 1)]
 
     def _trial(self, fingerprint: int) -> Trial | None:
@@ -293,12 +300,12 @@
 
     def _find(
         self, endpoint: str, at: float, restored: bool = False, began: float = float("-inf")
-    ) -> EndpointEnd | None:
+    ) -> EndpointCrash | None:
         """The end that is known already; one that a record counts has no time of its own."""
         return next(
             (
                 end
-                for end in reversed(self.ends)
+                for end in reversed(self.endpoint_crashes)
                 if end.endpoint == endpoint
                 and (restored or abs(end.at - at) <= SAME_END_SECONDS)
                 and end.at >= began
@@ -306,67 +313,71 @@
             None,
         )
 
-    def _add(self, end: EndpointEnd) -> EndpointEnd:
+    def _add(self, end: EndpointCrash) -> EndpointCrash:
         self._make_room()
         end.learned_at = self.clock.seconds()
-        self.ends.append(end)
+        self.endpoint_crashes.append(end)
         return end
 
     def _make_room(self) -> None:
         """Forget old ends, and the oldest if there are too many; suspects' ends go last."""
         oldest = self.clock.seconds() - MEMORY_SECONDS
-        for end in [end for end in self.ends if end.at < oldest and not self._suspects(end)]:
+        for end in [
+            end for end in self.endpoint_crashes if end.at < oldest and not self._suspects(end)
+        ]:
             self._drop(end)
-        if len(self.ends) >= ENDS_KEPT:
-            self._drop(min(self.ends, key=lambda end: (bool(self._suspects(end)), end.at)))
+        if len(self.endpoint_crashes) >= MAX_CRASHES:
+            self._drop(
+                min(self.endpoint_crashes, key=lambda end: (bool(self._suspects(end)), end.at))
+            )
 
-    def _suspects(self, end: EndpointEnd) -> list[str]:
+    def _suspects(self, end: EndpointCrash) -> list[str]:
         """The requests of an end that were in flight at others too."""
         return [
             format_fingerprint(fingerprint)
             for fingerprint in end.fingerprints
-            if len(self.ends_by_fingerprint[fingerprint]) >= SUSPECTING_CRASHES
+            if len(self.crashes_by_fingerprint[fingerprint]) >= SUSPECTING_CRASHES
         ]
 
-    def _charge(self, end: EndpointEnd, fingerprint: int) -> bool:
+    def _charge(self, end: EndpointCrash, fingerprint: int) -> bool:
         """Note that a request was in flight at an end; return whether that is new."""
         cleared = self.clearances_by_fingerprint.get(fingerprint)
         if fingerprint in end.fingerprints or (cleared is not None and end.at <= cleared.at):
             return False
-        if len(end.fingerprints) >= FINGERPRINTS_PER_END:
+        if len(end.fingerprints) >= MAX_FINGERPRINTS_PER_CRASH:
             return False
         end.fingerprints.add(fingerprint)
-        self.ends_by_fingerprint.setdefault(fingerprint, []).append(end)
+        self.crashes_by_fingerprint.setdefault(fingerprint, []).append(end)
         return True
 
-    def _seen(self, end: EndpointEnd) -> None:
+    def _seen(self, end: EndpointCrash) -> None:
         """This gateway learnt something of a confirmed end by itself."""
         end.learned_at = self.clock.seconds()
         self._end_trials(end)
         for fingerprint in end.fingerprints:
-            crashes = self._crashes(fingerprint)
-            if crashes >= CONVICTING_CRASHES:
+            crashes = self._crash_count(fingerprint)
+            if crashes >= QUARANTINE_CRASHES:
                 log_message(
                     message_type="quarantine:began",
                     fingerprint=format_fingerprint(fingerprint),
                     crashes=crashes,
                     seconds=round(self._refused_until(fingerprint, crashes) - end.at, 1),
                 )
-                self.on_convicted(fingerprint)
-        self._changed(self.on_change)
+                self.on_quarantined(fingerprint)
+        self._changed(self.on_local_change)
 
-    def _end_trials(self, end: EndpointEnd) -> None:
+    def _end_trials(self, end: EndpointCrash) -> None:
         for fingerprint in end.fingerprints & self.trials_by_fingerprint.keys():
             if self.trials_by_fingerprint[fingerprint].at <= end.at:
                 del self.trials_by_fingerprint[fingerprint]
 
     def _ended_since(self, fingerprint: int, at: float) -> bool:
-        ends = self.ends_by_fingerprint.get(fingerprint, ())
+        ends = self.crashes_by_fingerprint.get(fingerprint, ())
         return any(end.at >= at for end in ends)
 
     def _clear(self, fingerprint: int, at: float) -> None:
-        was = len(self.ends_by_fingerprint.get(fingerprint, ()))
-        for end in list(self.ends_by_fingerprint.get(fingerprint, ())):
+        was = len(self.crashes_by_fingerprint.get(fingerprint, ()))
+        for end in list(self.crashes_by_fingerprint.get(fingerprint, ())):
             if end.at <= at:
                 self._acquit(end, fingerprint)
         self.trials_by_fingerprint.pop(fingerprint, None)
@@ -374,7 +385,7 @@
         self.clearances_by_fingerprint[fingerprint] = Clearance(
             fingerprint, at, self.clock.seconds()
         )
-        if len(self.clearances_by_fingerprint) > CLEARANCES_KEPT:
+        if len(self.clearances_by_fingerprint) > MAX_CLEARANCES:
             self.clearances_by_fingerprint.popitem(last=False)
         if was >= SUSPECTING_CRASHES:
             log_message(
@@ -383,14 +394,14 @@
                 crashes=was,
             )
 
-    def _acquit(self, end: EndpointEnd, fingerprint: int) -> None:
+    def _acquit(self, end: EndpointCrash, fingerprint: int) -> None:
         end.fingerprints.discard(fingerprint)
-        ends = self.ends_by_fingerprint[fingerprint]
+        ends = self.crashes_by_fingerprint[fingerprint]
         ends.remove(end)
         if not ends:
-            del self.ends_by_fingerprint[fingerprint]
+            del self.crashes_by_fingerprint[fingerprint]
 
-    def _drop(self, end: EndpointEnd) -> None:
+    def _drop(self, end: EndpointCrash) -> None:
         for fingerprint in list(end.fingerprints):
             self._acquit(end, fingerprint)
-        self.ends.remove(end)
+        self.endpoint_crashes.remove(end)
--- a/src/guavacleat/streams/relay.py
+++ b/src/guavacleat/streams/relay.py
@@ -21,7 +21,7 @@
 
 from guavacleat.errors import NotRunError
 from guavacleat.protocol.gen.sidecar.ttypes import NotRun, StartReply
-from guavacleat.quarantine import CrashBook, Liveness, QuarantineGuard, StandingKind
+from guavacleat.quarantine import CrashTracker, Liveness, QuarantineGuard, QuarantineState
 from guavacleat.streams.messages import CompletionRequest, StreamBrokenError, StreamMixupError
 from guavacleat.streams.serving import Serving, bounded, start_on
 
@@ -63,7 +63,7 @@
         self.pool = pool
         self.metrics = metrics
         self.resumes = 0
-        self.crashes = CrashBook(clock)
+        self.crashes = CrashTracker(clock)
         self.quarantine = QuarantineGuard(clock, self.crashes, self._probe)
 
     @defer.inlineCallbacks
@@ -97,7 +97,7 @@
             try:
                 yield self._pull_all(request, serving, sink, progress)
                 if progress.finish_reason == FINISHED:
-                    self.quarantine.completed(request)
+                    self.quarantine.request_completed(request)
                 return progress
             except StreamBrokenError as broken:
                 failure = broken
@@ -105,7 +105,7 @@
                 self._note_broken(request, serving.endpoint.name, broken, serving.began)
                 serving.cancel_quietly()
             finally:
-                self.quarantine.over(request)
+                self.quarantine.run_finished(request)
                 self._release(serving.endpoint, request, progress)
                 serving = None
             if not request.repeatable:
@@ -114,17 +114,17 @@
 
     def _check_quarantine(self, request: CompletionRequest) -> None:
         """Raise NotRunError if the request must not run now."""
-        standing = self.quarantine.standing(request)
-        if standing.kind is StandingKind.REFUSED:
+        status = self.quarantine.status(request)
+        if status.state is QuarantineState.REFUSED:
             raise NotRunError(
-                f"{standing.crashes:g} endpoints ended under requests like this one.",
-                f"retry after {standing.retry_after:.1f} s, or change the request.",
-                standing.retry_after,
+                f"{status.crashes:g} endpoints ended under requests like this one.",
+                f"retry after {status.retry_after:.1f} s, or change the request.",
+                status.retry_after,
             )
 
     def _busier(self, request: CompletionRequest) -> set[str]:
         """Endpoints on which more runs than on others: none to be risked by a suspect."""
-        if self.quarantine.may_share(request):
+        if self.quarantine.is_unrestricted(request):
             return set()
         running = self.router.in_flight_by_name
         names = [record.name for record in self.membership.live(request.service)]
@@ -151,7 +151,7 @@
     def _note_broken(self, request, name: str, broken: StreamBrokenError, began: float) -> None:
         """Tell of a stream that broke off; one that stalled says nothing of the endpoint's end."""
         if not isinstance(broken.__cause__, defer.TimeoutError):
-            self.quarantine.broken(request, name, began)
+            self.quarantine.request_interrupted(request, name, began)
 
     def _release(self, endpoint, request: CompletionRequest, progress: StreamProgress) -> None:
         finished = progress.finish_reason == FINISHED
@@ -209,7 +209,7 @@
             except StreamBrokenError as broken:
                 unknown = broken
                 self._note_broken(request, endpoint.name, broken, began)
-                if not request.repeatable or not self.quarantine.may_share(request):
+                if not request.repeatable or not self.quarantine.is_unrestricted(request):
                     break
             finally:
                 if serving is None:
@@ -226,7 +226,7 @@
         it elsewhere would run a non-repeatable call twice; a repeatable one is safe, since nobody
         reads the first generation and its sidecar cancels streams left unread.
         """
-        self.quarantine.sent(request, endpoint.name)
+        self.quarantine.request_sent(request, endpoint.name)
         try:
             serving = yield start_on(self.clock, self.pool, endpoint, request, progress.sent)
         except NotRun as refused:
--- a/tests/forwarding/harness.py
+++ b/tests/forwarding/harness.py
@@ -14,7 +14,7 @@
 from guavacleat.membership.liveness import EndpointProbe
 from guavacleat.membership.registry import EndpointEntry, EndpointRegistry, EndpointState
 from guavacleat.placement import LoadTracker, Placement
-from guavacleat.quarantine import CrashBook, QuarantineGuard
+from guavacleat.quarantine import CrashTracker, QuarantineGuard
 from guavacleat.retries import RetryBudget
 from guavacleat.routes import Backend, EngineTraits, RequestKind, Route, ServiceTraits
 from guavacleat.settings import Bounds
@@ -170,7 +170,7 @@
         self.registry = EndpointRegistry(clock)
         self.load = LoadTracker(clock)
         self.pool = FakePool()
-        self.crashes = CrashBook(clock)
+        self.crashes = CrashTracker(clock)
         quarantine = QuarantineGuard(clock, self.crashes, EndpointProbe(self.pool, self.registry))
         placement = Placement(
             self.registry, self.load, "dc", seed=1, avoided=quarantine.trial_endpoints
--- a/tests/forwarding/test_quarantine.py
+++ b/tests/forwarding/test_quarantine.py
@@ -9,7 +9,7 @@
 from guavacleat.forwarding.session import StreamSession
 from guavacleat.http1.client import BreakReason
 from guavacleat.placement import Run
-from guavacleat.quarantine import StandingKind
+from guavacleat.quarantine import QuarantineState
 from guavacleat.routes import EngineTraits, RequestKind
 from tests.forwarding.harness import ForwardingHarness, entry, event
 
@@ -20,7 +20,9 @@
 def blame(harness, request, times):
     """So many endpoints have ended while the request was in flight there."""
     for number in range(times):
-        harness.crashes.confirm(harness.crashes.broken(f"gone-{number}", request.content_key))
+        harness.crashes.confirm(
+            harness.crashes.request_interrupted(f"gone-{number}", request.content_key)
+        )
         harness.clock.advance(APART_SECONDS)
 
 
@@ -60,7 +62,7 @@
     crash(harness, harness.pool.connections[0])
     assert len(harness.pool.connections) == 1
     assert refusals[0].reason is RefusalReason.BROKEN
-    assert harness.context.quarantine.standing(request).kind is StandingKind.REFUSED
+    assert harness.context.quarantine.status(request).state is QuarantineState.REFUSED
 
 
 def test_a_suspect_that_has_run_is_not_called_not_run(clock):
@@ -70,7 +72,7 @@
         busy(harness, name, 6)
     request, _, refusals = plain(harness, times=1, attempts=3)
     crash(harness, harness.pool.connections[0])
-    assert harness.context.quarantine.standing(request).kind is StandingKind.APART
+    assert harness.context.quarantine.status(request).state is QuarantineState.ISOLATED
     assert len(harness.pool.connections) == 1
     assert refusals[0].reason is RefusalReason.BROKEN
 
@@ -183,7 +185,7 @@
     harness = ForwardingHarness(clock, engine=None)
     request, _, _ = plain(harness, attempts=1)
     harness.pool.connections[0].break_off(reason)
-    assert harness.crashes.crashes(request.content_key) == 0
+    assert harness.crashes.crash_count(request.content_key) == 0
 
 
 def test_an_endpoint_that_left_as_announced_blames_nobody(clock):
@@ -194,4 +196,4 @@
     leaving = harness.registry.entries_by_id[side.address[0]]
     harness.registry.observe_leaving(leaving)
     crash(harness, side)
-    assert harness.crashes.crashes(request.content_key) == 0
+    assert harness.crashes.crash_count(request.content_key) == 0
--- a/tests/peers/fleet.py
+++ b/tests/peers/fleet.py
@@ -16,7 +16,7 @@
 from guavacleat.placement import LoadTracker
 from guavacleat.platform.adapter import PlatformAdapter
 from guavacleat.platform.settings import parse_process_settings
-from guavacleat.quarantine import CrashBook
+from guavacleat.quarantine import CrashTracker
 from guavacleat.routes.holder import RouteHolder
 from guavacleat.routes.model import CallerLimits, RouteTable
 from guavacleat.store import ConflictError, StoredObject, StoreUnavailableError, WatchBatch
@@ -161,7 +161,7 @@
         self.registry = EndpointRegistry(self.clock, lambda entry: self.left.append(entry.id))
         self.load = LoadTracker(self.clock)
         self.peers = PeerTable(self.clock)
-        self.crashes = CrashBook(self.clock)
+        self.crashes = CrashTracker(self.clock)
         self.load.peers = self.peers
         self.source = StoreSource(self, settings, fleet)
         self.link = self.source.store = fleet.connect()
--- a/tests/peers/test_peers.py
+++ b/tests/peers/test_peers.py
@@ -15,7 +15,7 @@
 from guavacleat.peers.sync import ConfigurationSyncState, EndpointSyncState
 from guavacleat.peers.table import PEER_TIMEOUT_SECONDS, RESTART_SECONDS
 from guavacleat.placement import EndpointLoad, LoadTracker, Run
-from guavacleat.quarantine import CrashBook
+from guavacleat.quarantine import CrashTracker
 from guavacleat.store import ConflictError, StoredObject, StoreUnavailableError, WatchBatch
 from tests.forwarding.harness import entry
 
@@ -146,7 +146,7 @@
         registry,
         ConfigurationSyncState(clock, lambda: None),
         EndpointSyncState(clock),
-        CrashBook(clock),
+        CrashTracker(clock),
     )
     found.transport = Datagrams()
     found.startProtocol()
@@ -347,7 +347,7 @@
     found, load = exchange(clock, FakeStore())
     book = found.crashes.book
     for number in range(100):
-        book.confirm(book.broken(f"e{number}", number))
+        book.confirm(book.request_interrupted(f"e{number}", number))
     clock.advance(0.02)
     told = [report.crashes for report, _ in found.transport.sent if report.crashes]
     assert sum(len(end.fingerprints) for end in told[-1].ends) == 100
@@ -364,7 +364,7 @@
     book = found.crashes.book
     for endpoint in range(200):
         for request in range(40):
-            end = book.broken(f"i-{endpoint:08}", 1000 * endpoint + request)
+            end = book.request_interrupted(f"i-{endpoint:08}", 1000 * endpoint + request)
         book.confirm(end)
     report = found._message({}, found._news, True)
     assert len(encode_report(report)) <= LARGEST_CRASH_REPORT_BYTES
--- a/tests/quarantine/test_crashing_requests.py
+++ b/tests/quarantine/test_crashing_requests.py
@@ -58,7 +58,7 @@
     fleet.network.pass_time(1.0)
     fleet.links["g1"].set_state("silent")
     fleet.network.pass_time(4.0)
-    assert fleet.gateways["g1"].crashes.convicted()
+    assert fleet.gateways["g1"].crashes.quarantined_fingerprints()
     assert fleet.crashes <= before + 1
 
 
@@ -74,10 +74,10 @@
     for _ in range(3):
         fleet.crash_request("listing", gateway="g0")
         fleet.network.pass_time(2.0)
-    assert not fleet.gateways["g3"].crashes.convicted()
+    assert not fleet.gateways["g3"].crashes.quarantined_fingerprints()
     fleet.network.cuts = set()
     fleet.network.pass_time(4.0)
-    assert fleet.gateways["g3"].crashes.convicted()
+    assert fleet.gateways["g3"].crashes.quarantined_fingerprints()
 
 
 def test_a_refused_request_is_answered_at_once_with_when_to_come_back():
@@ -100,7 +100,7 @@
         for endpoint in fleet.endpoints[:3] if number % 2 else fleet.endpoints[3:]:
             endpoint.crash()
         fleet.network.pass_time(2.0)
-    ends = [end for gateway in fleet.gateways.values() for end in gateway.crashes.ends]
+    ends = [end for gateway in fleet.gateways.values() for end in gateway.crashes.endpoint_crashes]
     assert len(ends) >= rounds
 
 
--- a/tests/quarantine/test_guard.py
+++ b/tests/quarantine/test_guard.py
@@ -5,7 +5,7 @@
 import pytest
 from twisted.internet import defer
 
-from guavacleat.quarantine import CrashBook, Liveness, QuarantineGuard, StandingKind
+from guavacleat.quarantine import CrashTracker, Liveness, QuarantineGuard, QuarantineState
 from guavacleat.quarantine.guard import CONFIRM_SECONDS
 
 REQUEST = types.SimpleNamespace(content_key=1)
@@ -33,7 +33,7 @@
 
 @pytest.fixture
 def guard(clock, probes):
-    return QuarantineGuard(clock, CrashBook(clock), probes)
+    return QuarantineGuard(clock, CrashTracker(clock), probes)
 
 
 CASES = [
@@ -50,39 +50,39 @@
 @pytest.mark.parametrize("found,announced,counted", CASES)
 def test_only_an_end_that_is_known_counts(guard, probes, clock, found, announced, counted):
     """Guards against blaming requests for resets, garbled answers, cuts and planned ends."""
-    guard.broken(REQUEST, "e1", 0.0)
+    guard.request_interrupted(REQUEST, "e1", 0.0)
     if found is not None:
         probes.asked[0][1].callback(found)
     if announced is not None:
-        guard.left("e1", announced)
+        guard.endpoint_removed("e1", announced)
     clock.advance(CONFIRM_SECONDS)
-    assert guard.book.crashes(1) == counted
+    assert guard.book.crash_count(1) == counted
 
 
 def test_an_endpoint_is_tried_once_for_all_that_broke_off_there(guard, probes):
     for key in range(5):
-        guard.broken(types.SimpleNamespace(content_key=key), "e1", 0.0)
+        guard.request_interrupted(types.SimpleNamespace(content_key=key), "e1", 0.0)
     assert [endpoint for endpoint, _ in probes.asked] == ["e1"]
     probes.asked[0][1].callback(Liveness.ENDED)
-    assert [guard.book.crashes(key) for key in range(5)] == [1] * 5
+    assert [guard.book.crash_count(key) for key in range(5)] == [1] * 5
 
 
 def test_what_broke_off_counts_until_the_endpoint_answers(guard, probes):
     """Guards against a repeat that is sent in the moment before the third end is known."""
     for number in range(3):
-        guard.broken(REQUEST, f"e{number}", 0.0)
-    assert guard.standing(REQUEST).kind is StandingKind.REFUSED
+        guard.request_interrupted(REQUEST, f"e{number}", 0.0)
+    assert guard.status(REQUEST).state is QuarantineState.REFUSED
     for _, answer in probes.asked:
         answer.callback(Liveness.ALIVE)
-    assert guard.standing(REQUEST).kind is StandingKind.FREE
+    assert guard.status(REQUEST).state is QuarantineState.FREE
 
 
 def test_a_trial_ends_with_its_run(guard, probes, clock):
     for number in range(2):
-        guard.broken(REQUEST, f"e{number}", 0.0)
+        guard.request_interrupted(REQUEST, f"e{number}", 0.0)
         probes.asked[number][1].callback(Liveness.ENDED)
         clock.advance(2.0)
-    guard.sent(REQUEST, "e5")
+    guard.request_sent(REQUEST, "e5")
     assert guard.trial_endpoints() == {"e5"}
-    guard.over(REQUEST)
+    guard.run_finished(REQUEST)
     assert guard.trial_endpoints() == set()
--- a/tests/quarantine/test_record.py
+++ b/tests/quarantine/test_record.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from guavacleat.quarantine import CrashBook
+from guavacleat.quarantine import CrashTracker
 from guavacleat.quarantine.record import REQUESTS_KEPT, QuarantineRecord
 from tests.peers.fleet import SharedStore, StoreLink
 
@@ -16,7 +16,7 @@
 
 
 def gateway(clock, store, is_reader=lambda: True):
-    book = CrashBook(clock)
+    book = CrashTracker(clock)
     record = QuarantineRecord(clock, StoreLink(store), book, is_reader)
     record.start()
     return book, record
@@ -24,7 +24,7 @@
 
 def convict(book, clock, fingerprint):
     for number in range(3):
-        book.confirm(book.broken(f"{fingerprint}-{number}", fingerprint))
+        book.confirm(book.request_interrupted(f"{fingerprint}-{number}", fingerprint))
         clock.pump([0.1] * 20)
 
 
@@ -39,7 +39,7 @@
     pass_time(clock)
     later, _ = gateway(clock, store)
     pass_time(clock)
-    assert later.standing(CRASHER).convicted
+    assert later.status(CRASHER).quarantined
 
 
 def test_gateways_that_convict_at_once_both_write(clock, store):
@@ -50,18 +50,18 @@
     pass_time(clock)
     later, _ = gateway(clock, store)
     pass_time(clock)
-    assert later.standing(CRASHER).convicted and later.standing(OTHER).convicted
+    assert later.status(CRASHER).quarantined and later.status(OTHER).quarantined
 
 
 def test_a_request_that_ran_to_its_end_is_taken_out(clock, store):
     book, _ = gateway(clock, store)
     convict(book, clock, CRASHER)
     pass_time(clock)
-    book.completed(CRASHER)
+    book.request_completed(CRASHER)
     pass_time(clock)
     later, _ = gateway(clock, store)
     pass_time(clock)
-    assert later.crashes(CRASHER) == 0
+    assert later.crash_count(CRASHER) == 0
 
 
 def test_an_outage_delays_the_record(clock, store):
@@ -75,7 +75,7 @@
     pass_time(clock)
     later, _ = gateway(clock, store)
     pass_time(clock)
-    assert later.standing(CRASHER).convicted
+    assert later.status(CRASHER).quarantined
 
 
 def test_only_readers_read(clock, store):
@@ -89,7 +89,7 @@
     store.write("quarantine", "requests", value)
     book, _ = gateway(clock, store)
     pass_time(clock)
-    assert book.ends == []
+    assert book.endpoint_crashes == []
 
 
 def test_the_record_is_bounded(clock, store):
--- a/tests/quarantine/test_book.py
+++ b/tests/quarantine/test_tracker.py
@@ -2,10 +2,10 @@
 
 import pytest
 
-from guavacleat.quarantine import CrashBook, StandingKind
-from guavacleat.quarantine.book import (
-    CLEARANCES_KEPT,
-    ENDS_KEPT,
+from guavacleat.quarantine import CrashTracker, QuarantineState
+from guavacleat.quarantine.tracker import (
+    MAX_CLEARANCES,
+    MAX_CRASHES,
     MEMORY_SECONDS,
     QUARANTINE_SECONDS,
     TRIAL_SECONDS,
@@ -17,13 +17,13 @@
 
 @pytest.fixture
 def book(clock):
-    return CrashBook(clock)
+    return CrashTracker(clock)
 
 
 def crash(book, endpoint, *fingerprints):
     """``endpoint`` ends with these requests in flight."""
     for fingerprint in fingerprints:
-        end = book.broken(endpoint, fingerprint)
+        end = book.request_interrupted(endpoint, fingerprint)
     book.confirm(end)
 
 
@@ -34,13 +34,13 @@
 
 
 def test_a_request_runs_freely_then_apart_then_not_at_all(book, clock):
-    kinds = [book.standing(CRASHER).kind]
+    kinds = [book.status(CRASHER).state]
     for number in range(3):
         crash(book, f"e{number}", CRASHER)
-        kinds.append(book.standing(CRASHER).kind)
-    free, apart, refused = StandingKind
+        kinds.append(book.status(CRASHER).state)
+    free, apart, refused = QuarantineState
     assert kinds == [free, free, apart, refused]
-    assert book.standing(CRASHER).retry_after == QUARANTINE_SECONDS[0]
+    assert book.status(CRASHER).retry_after == QUARANTINE_SECONDS[0]
 
 
 def test_each_further_crash_is_further_from_the_last(book, clock):
@@ -48,34 +48,34 @@
     crash_in_turn(book, clock, 2, CRASHER)
     for seconds in QUARANTINE_SECONDS:
         crash(book, f"e{clock.seconds()}", CRASHER)
-        assert book.standing(CRASHER).retry_after == seconds
+        assert book.status(CRASHER).retry_after == seconds
         clock.advance(seconds - 0.1)
-        assert book.standing(CRASHER).kind is StandingKind.REFUSED
+        assert book.status(CRASHER).state is QuarantineState.REFUSED
         clock.advance(0.1)
-        assert book.standing(CRASHER).kind is StandingKind.APART
+        assert book.status(CRASHER).state is QuarantineState.ISOLATED
 
 
 def test_a_suspect_runs_once_at_a_time(book, clock):
     """Guards against a second copy that is sent while the first shows what it does."""
     crash_in_turn(book, clock, 2, CRASHER)
     book.begin_trial(CRASHER, "e9")
-    assert book.standing(CRASHER).kind is StandingKind.REFUSED
+    assert book.status(CRASHER).state is QuarantineState.REFUSED
     book.end_trial(CRASHER)
-    assert book.standing(CRASHER).kind is StandingKind.APART
+    assert book.status(CRASHER).state is QuarantineState.ISOLATED
     book.begin_trial(CRASHER, "e9")
     clock.advance(TRIAL_SECONDS)
-    assert book.standing(CRASHER).kind is StandingKind.APART
+    assert book.status(CRASHER).state is QuarantineState.ISOLATED
 
 
 def test_a_request_that_ran_to_its_end_is_free_whatever_peers_repeat(book, clock):
     """Guards against old news that suspects a cleared request again."""
     crash_in_turn(book, clock, 3, SOUND)
-    told = [(end.endpoint, clock.seconds() - end.at) for end in book.ends]
-    book.completed(SOUND)
+    told = [(end.endpoint, clock.seconds() - end.at) for end in book.endpoint_crashes]
+    book.request_completed(SOUND)
     clock.advance(1.0)
     for endpoint, age in told:
-        book.learn(endpoint, age + 1.0, [SOUND])
-    assert book.standing(SOUND).kind is StandingKind.FREE
+        book.merge_crash(endpoint, age + 1.0, [SOUND])
+    assert book.status(SOUND).state is QuarantineState.FREE
 
 
 def test_what_ran_beside_the_culprit_is_not_blamed(book, clock):
@@ -83,8 +83,8 @@
     crash(book, "e0", CRASHER)
     clock.advance(APART_SECONDS)
     crash_in_turn(book, clock, 3, CRASHER, SOUND)
-    assert book.standing(CRASHER).kind is StandingKind.REFUSED
-    assert book.standing(SOUND).kind is StandingKind.FREE
+    assert book.status(CRASHER).state is QuarantineState.REFUSED
+    assert book.status(SOUND).state is QuarantineState.FREE
 
 
 def test_ends_of_many_endpoints_at_once_count_half(book, clock):
@@ -93,13 +93,13 @@
         crash(book, f"rack-{number}", SOUND, 100 + number)
         crash(book, f"rack-{number}-b", 200 + number)
         clock.advance(0.2)
-    assert book.standing(SOUND).kind is StandingKind.FREE
+    assert book.status(SOUND).state is QuarantineState.FREE
 
 
 def test_one_request_that_ends_many_endpoints_at_once_counts_in_full(book, clock):
     for number in range(3):
         crash(book, f"e{number}", CRASHER, 100 + number)
-    assert book.standing(CRASHER).kind is StandingKind.REFUSED
+    assert book.status(CRASHER).state is QuarantineState.REFUSED
 
 
 def test_two_requests_that_crash_at_once_are_both_found(book, clock):
@@ -107,50 +107,50 @@
         crash(book, f"e{number}", CRASHER)
         crash(book, f"f{number}", SOUND)
         clock.advance(0.25)
-    assert book.standing(CRASHER).kind is StandingKind.REFUSED
-    assert book.standing(SOUND).kind is StandingKind.REFUSED
+    assert book.status(CRASHER).state is QuarantineState.REFUSED
+    assert book.status(SOUND).state is QuarantineState.REFUSED
 
 
 def test_what_several_tell_of_one_end_counts_once(book, clock):
     crash(book, "e1", CRASHER)
-    book.learn("e1", 0.1, [CRASHER])
-    book.learn("e1", 0.0, [CRASHER])
-    assert book.crashes(CRASHER) == 1
+    book.merge_crash("e1", 0.1, [CRASHER])
+    book.merge_crash("e1", 0.0, [CRASHER])
+    assert book.crash_count(CRASHER) == 1
     clock.advance(2.0)
     crash(book, "e1", CRASHER)
-    assert book.crashes(CRASHER) == 2
+    assert book.crash_count(CRASHER) == 2
 
 
 def test_an_endpoint_that_lives_blames_nobody(book):
-    book.withdraw(book.broken("e1", SOUND))
-    assert book.crashes(SOUND) == 0
-    assert book.ends == []
+    book.discard(book.request_interrupted("e1", SOUND))
+    assert book.crash_count(SOUND) == 0
+    assert book.endpoint_crashes == []
 
 
 def test_a_record_counts_as_many_ends_as_it_says_also_when_told_twice(book):
     book.restore(CRASHER, 4)
     book.restore(CRASHER, 4)
-    assert book.crashes(CRASHER) == 4
-    assert book.standing(CRASHER).retry_after == QUARANTINE_SECONDS[1]
+    assert book.crash_count(CRASHER) == 4
+    assert book.status(CRASHER).retry_after == QUARANTINE_SECONDS[1]
 
 
 def test_memory_is_bounded_and_keeps_what_convicts(book, clock):
     """Guards against a fleet's worth of ends that push out the request which caused them."""
     crash_in_turn(book, clock, 3, CRASHER)
-    for number in range(2 * ENDS_KEPT):
+    for number in range(2 * MAX_CRASHES):
         crash(book, f"power-{number}", *range(1000 * number + 10, 1000 * number + 100))
-    for fingerprint in range(2 * CLEARANCES_KEPT):
-        book.learn_completed(fingerprint + 10**9, 0.0)
-    assert len(book.ends) <= ENDS_KEPT
-    assert len(book.clearances_by_fingerprint) <= CLEARANCES_KEPT
-    assert book.standing(CRASHER).convicted
+    for fingerprint in range(2 * MAX_CLEARANCES):
+        book.merge_completion(fingerprint + 10**9, 0.0)
+    assert len(book.endpoint_crashes) <= MAX_CRASHES
+    assert len(book.clearances_by_fingerprint) <= MAX_CLEARANCES
+    assert book.status(CRASHER).quarantined
 
 
 def test_an_end_long_ago_is_forgotten(book, clock):
     crash(book, "e1", SOUND)
     clock.advance(MEMORY_SECONDS + 1)
     crash(book, "e2", CRASHER)
-    assert book.crashes(SOUND) == 0
+    assert book.crash_count(SOUND) == 0
 
 
 def test_an_endpoint_that_is_back_at_once_ends_anew(book, clock):
@@ -159,5 +159,5 @@
         clock.advance(0.01)
         began = clock.seconds()
         clock.advance(0.1)
-        book.confirm(book.broken("e1", CRASHER, began))
-    assert book.standing(CRASHER).kind is StandingKind.REFUSED
+        book.confirm(book.request_interrupted("e1", CRASHER, began))
+    assert book.status(CRASHER).state is QuarantineState.REFUSED
--- a/tests/quarantine/test_book_machine.py
+++ b/tests/quarantine/test_tracker_machine.py
@@ -10,8 +10,13 @@
 from twisted.internet.task import Clock
 
 from guavacleat.peers.crashes import MAX_FINGERPRINTS_PER_REPORT, CrashGossip
-from guavacleat.quarantine import CrashBook, StandingKind
-from guavacleat.quarantine.book import COMMON_ENDS, COMMON_SECONDS, ENDS_KEPT, QUARANTINE_SECONDS
+from guavacleat.quarantine import CrashTracker, QuarantineState
+from guavacleat.quarantine.tracker import (
+    COMMON_ENDS,
+    COMMON_SECONDS,
+    MAX_CRASHES,
+    QUARANTINE_SECONDS,
+)
 from tests.conftest import examples
 
 GATEWAYS = 3
@@ -27,7 +32,7 @@
     def __init__(self):
         super().__init__()
         self.clock = Clock()
-        self.books = [CrashBook(self.clock) for _ in range(GATEWAYS)]
+        self.books = [CrashTracker(self.clock) for _ in range(GATEWAYS)]
         self.news = [CrashGossip(self.clock, book) for book in self.books]
         self.starts = 0
         self.crashes = 0
@@ -41,15 +46,15 @@
     @rule(gateway=st.integers(0, GATEWAYS - 1), beside=st.sets(st.sampled_from(SOUND), max_size=4))
     def the_crasher_comes(self, gateway, beside):
         book = self.books[gateway]
-        standing = book.standing(CRASHER)
-        if standing.kind is StandingKind.REFUSED:
+        status = book.status(CRASHER)
+        if status.state is QuarantineState.REFUSED:
             return
         endpoint = self._endpoint()
-        if standing.kind is StandingKind.APART:
+        if status.state is QuarantineState.ISOLATED:
             book.begin_trial(CRASHER, endpoint)
             beside = set()
         for request in (*beside, CRASHER):
-            end = book.broken(endpoint, request)
+            end = book.request_interrupted(endpoint, request)
         book.confirm(end)
         self.crashes += 1
         self.crashed_at.append((gateway, self.clock.seconds()))
@@ -57,8 +62,8 @@
 
     @rule(gateway=st.integers(0, GATEWAYS - 1), request=st.sampled_from(SOUND))
     def a_sound_request_completes(self, gateway, request):
-        self.books[gateway].completed(request)
-        assert self.books[gateway].standing(request).kind is StandingKind.FREE
+        self.books[gateway].request_completed(request)
+        assert self.books[gateway].status(request).state is QuarantineState.FREE
 
     @rule(
         gateway=st.integers(0, GATEWAYS - 1),
@@ -69,16 +74,16 @@
         for group in groups:
             endpoint = self._endpoint()
             for request in group:
-                end = book.broken(endpoint, request)
+                end = book.request_interrupted(endpoint, request)
             book.confirm(end)
             self.others_ended_at.append(self.clock.seconds())
 
     @rule(gateway=st.integers(0, GATEWAYS - 1), request=st.sampled_from(SOUND))
     def an_answer_is_spoilt(self, gateway, request):
         book = self.books[gateway]
-        before = book.crashes(request)
-        book.withdraw(book.broken(self._endpoint(), request))
-        assert book.crashes(request) == before
+        before = book.crash_count(request)
+        book.discard(book.request_interrupted(self._endpoint(), request))
+        assert book.crash_count(request) == before
 
     @rule(seconds=st.sampled_from([0.3, 2.0, 7.0, 30.0]))
     def time_passes(self, seconds):
@@ -119,24 +124,24 @@
     @invariant()
     def memory_is_bounded_and_consistent(self):
         for book in self.books:
-            assert len(book.ends) <= ENDS_KEPT
-            told = {(id(end), key) for end in book.ends for key in end.fingerprints}
+            assert len(book.endpoint_crashes) <= MAX_CRASHES
+            told = {(id(end), key) for end in book.endpoint_crashes for key in end.fingerprints}
             kept = {
-                (id(end), key) for key, ends in book.ends_by_fingerprint.items() for end in ends
+                (id(end), key) for key, ends in book.crashes_by_fingerprint.items() for end in ends
             }
             assert told == kept
-            assert all(book.ends_by_fingerprint.values())
+            assert all(book.crashes_by_fingerprint.values())
 
     @invariant()
     def nobody_is_refused_for_few_ends(self):
         for book in self.books:
             refused = [
                 key
-                for key in book.ends_by_fingerprint
-                if book.standing(key).kind is StandingKind.REFUSED
+                for key in book.crashes_by_fingerprint
+                if book.status(key).state is QuarantineState.REFUSED
                 and key not in book.trials_by_fingerprint
             ]
-            assert all(len(book.ends_by_fingerprint[key]) >= CRASHES_AT_FIRST for key in refused)
+            assert all(len(book.crashes_by_fingerprint[key]) >= CRASHES_AT_FIRST for key in refused)
 
 
 QuarantineMachine.TestCase.settings = settings(max_examples=examples(100), stateful_step_count=40)
--- a/tests/streams/test_relay_quarantine.py
+++ b/tests/streams/test_relay_quarantine.py
@@ -75,4 +75,4 @@
     other = CompletionRequest(
         "r9", "enquiry-lm", "other", "interactive", 0, "crash", 10, None, clock.seconds()
     )
-    assert relay.quarantine.standing(other).retry_after is None
+    assert relay.quarantine.status(other).retry_after is None
