--- a/src/guavacleat/forwarding/session.py
+++ b/src/guavacleat/forwarding/session.py
@@ -43,7 +43,7 @@
         self.leg: Leg | None = None
         self.last_event: int | None = None
         self.moves = 0
-        self.times = StreamTimings(request.arrived)
+        self.timings = StreamTimings(request.arrived)
         self.memory = StreamMemory(request, context.load)
         self.handover: Handover | None = None
         self.opener = LegOpener(self, request, context, self.memory, self._log)
@@ -222,7 +222,7 @@
                 return
             self.last_event = event.id
             self.memory.note_event()
-        self.times.event(self.context.clock.seconds(), event.id)
+        self.timings.event(self.context.clock.seconds(), event.id)
         self.request.exchange.write(event.data)
 
     async def _go_on(self) -> bool:
@@ -300,17 +300,17 @@
             getattr(self.leg.connection.transport, name)()
 
     def _log_end(self) -> None:
-        first, goal = self.times.first, self.request.route.gap_goal
+        first, goal = self.timings.first, self.request.route.gap_goal
         late = first is None or first > self.request.route.latency_goal
-        paused = goal is not None and self.times.longest_gap > goal
+        paused = goal is not None and self.timings.longest_gap > goal
         served = "stream:late" if late or paused else "stream:on-time"
         self._log(
             served if self.completed else "stream:unfinished",
             endpoint=self.leg.entry.id if self.leg else None,
             first=None if first is None else round(first, 3),
-            gap=round(self.times.longest_gap, 3),
+            gap=round(self.timings.longest_gap, 3),
             paused=paused,
-            gap_event=self.times.gap_event,
+            gap_event=self.timings.gap_event,
             moves=self.moves,
             expected=self.request.expected_tokens(),
             tokens=self.memory.tokens,
--- a/src/guavacleat/forwarding/timings.py
+++ b/src/guavacleat/forwarding/timings.py
@@ -24,7 +24,7 @@
         seconds = times.last_at - times.arrived - times.first
         self.seconds_per_token += SMOOTHING * (seconds / tokens - self.seconds_per_token)
 
-    def seconds(self, tokens: int) -> float:
+    def estimate_seconds(self, tokens: int) -> float:
         """How long ``tokens`` will take."""
         return tokens * self.seconds_per_token
 
--- a/src/guavacleat/ingress/dispatch.py
+++ b/src/guavacleat/ingress/dispatch.py
@@ -100,7 +100,7 @@
     def _learn(self, session: StreamSession) -> None:
         """Take in how fast and how long a stream ran."""
         request, output = session.request, session.memory.output_tokens
-        self.generation_speed.observe(session.times, output)
+        self.generation_speed.observe(session.timings, output)
         if session.completed and request.traits.engine is not None:
             request.forecast.record_finished(output, request.metadata.expected_output_tokens)
 
@@ -130,7 +130,7 @@
         early = now - self._began_stopping <= LAST_STREAM_SECONDS
         if early and request.route.kind is RequestKind.STREAM:
             output = request.expected_tokens() - request.prompt_tokens
-            needed = request.route.latency_goal + self.generation_speed.seconds(output)
+            needed = request.route.latency_goal + self.generation_speed.estimate_seconds(output)
         if needed > self._stops_at - now:
             raise RefusalError(RefusalReason.STOPPING, self._retry_after_stop(now))
 
--- a/tests/admission/test_generations.py
+++ b/tests/admission/test_generations.py
@@ -73,7 +73,7 @@
 
 
 def test_no_engine_is_told_at_once(harness):
-    harness.ready("e1", state=EndpointState.DRAINING)
+    harness.set_endpoint("e1", state=EndpointState.DRAINING)
     assert ask(harness).result is None
 
 
@@ -86,8 +86,8 @@
     """
     asked = [ask(harness, f"r{number}") for number in range(4)]
     assert [came.result for came in asked] == ["e1", "waits", "waits", "waits"]
-    harness.ready("e1", state=EndpointState.DRAINING)
-    harness.ready("e2")
+    harness.set_endpoint("e1", state=EndpointState.DRAINING)
+    harness.set_endpoint("e2")
     harness.clock.advance(POLL_SECONDS + STAGGER_SECONDS)
     assert [came.result for came in asked] == ["e1", "e2", "waits", "waits"]
 
@@ -211,7 +211,7 @@
 def test_an_engine_that_refused_is_not_asked_again(harness):
     came = ask(harness, tried=("e1",))
     assert came.result is None
-    harness.ready("e2")
+    harness.set_endpoint("e2")
     assert ask(harness, tried=("e1",)).result == "e2"
 
 
--- a/tests/forwarding/harness.py
+++ b/tests/forwarding/harness.py
@@ -191,10 +191,10 @@
             quarantine,
         )
         for name in names:
-            self.ready(name)
+            self.set_endpoint(name)
 
-    def ready(self, name, data_centre="dc", state=EndpointState.READY):
-        self.registry.observe(entry(name, data_centre, state))
+    def set_endpoint(self, name, data_centre="dc", state=EndpointState.READY):
+        self.registry.observe(make_entry(name, data_centre, state))
 
     def request(self, kind=RequestKind.IDEMPOTENT, attempts=2, timeout=2.0, body=b"", **metadata):
         """A request ``r1`` and the caller who waits for its answer."""
@@ -212,11 +212,11 @@
         return request, caller
 
 
-def entry(
+def make_entry(
     name, data_centre="dc", state=EndpointState.READY, service="svc", revision=0, started_ms=None
 ):
     return EndpointEntry(name, service, (name, 80), data_centre, 6, state, revision, started_ms)
 
 
-def event(id, text="x"):
+def encode_event(id, text="x"):
     return f"id: {id}\ndata: {text}\n\n".encode()
--- a/tests/forwarding/test_quarantine.py
+++ b/tests/forwarding/test_quarantine.py
@@ -11,7 +11,7 @@
 from guavacleat.placement import Run
 from guavacleat.quarantine import QuarantineState
 from guavacleat.routes import EngineTraits, RequestKind
-from tests.forwarding.harness import ForwardingHarness, entry, event
+from tests.forwarding.harness import ForwardingHarness, encode_event, make_entry
 
 BACKED_UP = EngineTraits(24, 30000, 163840, 24000.0, 4, moves=True, backups=True)
 APART_SECONDS = 1.5
@@ -125,9 +125,9 @@
     session, caller, _ = stream(harness, times)
     side = harness.pool.connections[0]
     side.begin()
-    side.body_bytes(event(1))
+    side.body_bytes(encode_event(1))
     keeper = next(name for name in ("e1", "e2", "e3") if name != side.address[0])
-    session.memory.keep_copy(HeldCopy(entry(keeper), entry(keeper), "h1"))
+    session.memory.keep_copy(HeldCopy(make_entry(keeper), make_entry(keeper), "h1"))
     return session, caller, side, keeper
 
 
--- a/tests/forwarding/test_session.py
+++ b/tests/forwarding/test_session.py
@@ -14,7 +14,7 @@
 from guavacleat.forwarding.refusals import RefusalReason
 from guavacleat.forwarding.session import StreamSession
 from guavacleat.routes import EngineTraits, RequestKind
-from tests.forwarding.harness import ForwardingHarness, entry, event
+from tests.forwarding.harness import ForwardingHarness, encode_event, make_entry
 
 
 @pytest.fixture
@@ -37,13 +37,13 @@
     session, caller, refusals = start(harness)
     side = harness.pool.connections[0]
     side.begin()
-    side.body_bytes(b"".join(event(id) for id in range(1, events + 1)))
+    side.body_bytes(b"".join(encode_event(id) for id in range(1, events + 1)))
     return session, caller, side
 
 
 def test_events_pass_as_they_come_and_the_end_is_told(harness):
     _, caller, side = running(harness)
-    assert caller.data == event(1) + event(2) + event(3)
+    assert caller.data == encode_event(1) + encode_event(2) + encode_event(3)
     assert not caller.complete
     side.end()
     assert caller.complete
@@ -57,15 +57,15 @@
     Cause: only whole events are passed on, and each id once.
     """
     session, caller, side = running(harness)
-    session.memory.keep_copy(HeldCopy(entry("e2"), entry("e2"), "h1"))
-    side.body_bytes(event(4)[:7])
+    session.memory.keep_copy(HeldCopy(make_entry("e2"), make_entry("e2"), "h1"))
+    side.body_bytes(encode_event(4)[:7])
     side.break_off()
     second = harness.pool.connections[1]
     assert second.headers[b"resume"] == b"h1 3"
     second.begin()
-    second.body_bytes(event(3) + event(4) + event(5))
+    second.body_bytes(encode_event(3) + encode_event(4) + encode_event(5))
     second.end()
-    assert caller.data == b"".join(map(event, range(1, 6)))
+    assert caller.data == b"".join(map(encode_event, range(1, 6)))
     assert caller.complete
 
 
@@ -76,9 +76,9 @@
     Cause: an id that skips one must stop the stream, not pass.
     """
     _, caller, side = running(harness)
-    side.body_bytes(event(5))
+    side.body_bytes(encode_event(5))
     assert caller.was_cut and not caller.complete
-    assert event(5) not in caller.data
+    assert encode_event(5) not in caller.data
 
 
 def test_a_stream_without_copy_is_cut_when_its_engine_dies(harness):
@@ -100,9 +100,9 @@
     harness.pool.connections[0].answer(503, signed=False, not_run=True, id=None)
     second = harness.pool.connections[1]
     second.begin()
-    second.body_bytes(event(1))
+    second.body_bytes(encode_event(1))
     second.end()
-    assert caller.data == event(1) and caller.complete
+    assert caller.data == encode_event(1) and caller.complete
 
 
 def test_a_stream_may_run_once_only_even_before_its_first_event(harness):
@@ -153,7 +153,7 @@
 
 def test_a_copy_that_the_engine_no_longer_has_ends_the_stream(harness):
     session, caller, side = running(harness)
-    session.memory.keep_copy(HeldCopy(entry("e2"), entry("e2"), "h1"))
+    session.memory.keep_copy(HeldCopy(make_entry("e2"), make_entry("e2"), "h1"))
     side.break_off()
     harness.pool.connections[1].answer(503, signed=False, not_run=True, id=None)
     assert caller.was_cut and not caller.complete
@@ -172,7 +172,7 @@
     first = harness.pool.connections[0]
     keeper = first.headers[b"copy-to"].decode()
     first.begin()
-    first.body_bytes(event(1))
+    first.body_bytes(encode_event(1))
     first.break_off()
     second = harness.pool.connections[1]
     assert second.address[0] == keeper
@@ -185,7 +185,7 @@
 
 def test_memory_is_counted_where_the_run_and_its_copy_are(harness):
     session, _, side = running(harness)
-    session.memory.keep_copy(HeldCopy(entry("e3"), entry("e3"), "h1"))
+    session.memory.keep_copy(HeldCopy(make_entry("e3"), make_entry("e3"), "h1"))
     assert harness.load.total("e3").peak_tokens == session.memory.expected_tokens()
     side.end()
     assert harness.load.runs_by_endpoint == {}
@@ -200,7 +200,7 @@
     session, _, _ = start(harness, max_output_tokens=2000, expected_output_tokens=8.0)
     side = harness.pool.connections[0]
     side.begin()
-    side.body_bytes(b"".join(event(id) for id in range(1, 101)))
+    side.body_bytes(b"".join(encode_event(id) for id in range(1, 101)))
     assert session.memory.tokens == 1400
     assert harness.load.total(side.address[0]).peak_tokens > 1400
 
@@ -208,9 +208,9 @@
 def handing_over(harness, events=3):
     """A stream that is being handed over to ``e2``; both engines' sides."""
     session, caller, side = running(harness, events)
-    session.memory.keep_copy(HeldCopy(entry("e2"), entry("e2"), "h1"))
+    session.memory.keep_copy(HeldCopy(make_entry("e2"), make_entry("e2"), "h1"))
     done = defer.Deferred.fromCoroutine(session.hand_over())
-    side.body_bytes(event(events + 1))
+    side.body_bytes(encode_event(events + 1))
     return session, caller, side, harness.pool.connections[1], done
 
 
@@ -218,11 +218,11 @@
     session, caller, side, second, done = handing_over(harness)
     assert second.headers[b"resume"] == b"h1 4" and side.open
     second.begin()
-    second.body_bytes(event(5))
+    second.body_bytes(encode_event(5))
     assert not side.open and session.leg.entry.id == "e2"
-    second.body_bytes(event(6))
+    second.body_bytes(encode_event(6))
     second.end()
-    assert caller.complete and caller.data == b"".join(map(event, range(1, 7)))
+    assert caller.complete and caller.data == b"".join(map(encode_event, range(1, 7)))
     assert done.result is True
     assert harness.load.runs_by_endpoint == {}
 
@@ -236,14 +236,14 @@
     pause, and none may be passed on twice.
     """
     _, caller, side, second, _ = handing_over(harness)
-    side.body_bytes(event(5))
+    side.body_bytes(encode_event(5))
     harness.clock.advance(HOLD_SECONDS)
-    assert caller.data.endswith(event(5))
-    side.body_bytes(event(6))
+    assert caller.data.endswith(encode_event(5))
+    side.body_bytes(encode_event(6))
     second.begin()
-    second.body_bytes(event(5) + event(6) + event(7))
+    second.body_bytes(encode_event(5) + encode_event(6) + encode_event(7))
     harness.clock.advance(HOLD_SECONDS)
-    assert caller.data == b"".join(map(event, range(1, 8)))
+    assert caller.data == b"".join(map(encode_event, range(1, 8)))
 
 
 def test_a_stream_that_ends_during_its_handover_is_whole(harness):
@@ -253,31 +253,31 @@
     Cause: events that are passed on later must go out before the end.
     """
     _, caller, side, second, done = handing_over(harness)
-    side.body_bytes(event(5) + event(6))
+    side.body_bytes(encode_event(5) + encode_event(6))
     side.end()
-    assert caller.complete and caller.data == b"".join(map(event, range(1, 7)))
+    assert caller.complete and caller.data == b"".join(map(encode_event, range(1, 7)))
     assert second.abandoned and done.result is False
 
 
 def test_an_engine_that_goes_during_the_handover_loses_nothing(harness):
     _, caller, side, second, done = handing_over(harness)
-    side.body_bytes(event(5))
+    side.body_bytes(encode_event(5))
     side.break_off()
     second.begin()
-    second.body_bytes(event(5) + event(6))
+    second.body_bytes(encode_event(5) + encode_event(6))
     second.end()
-    assert caller.complete and caller.data == b"".join(map(event, range(1, 7)))
+    assert caller.complete and caller.data == b"".join(map(encode_event, range(1, 7)))
     assert done.result is True
 
 
 def test_a_refused_handover_keeps_the_stream_where_it_is(harness):
     session, caller, side, second, done = handing_over(harness)
-    side.body_bytes(event(5))
+    side.body_bytes(encode_event(5))
     second.answer(503, signed=False, not_run=True, id=None)
     assert done.result is False
-    side.body_bytes(event(6))
+    side.body_bytes(encode_event(6))
     side.end()
-    assert caller.complete and caller.data == b"".join(map(event, range(1, 7)))
+    assert caller.complete and caller.data == b"".join(map(encode_event, range(1, 7)))
     assert harness.load.runs_by_endpoint == {}
 
 
@@ -291,7 +291,7 @@
     harness.clock.advance(OVERLAP_SECONDS)
     assert not side.open and second.open and caller.open
     second.begin()
-    second.body_bytes(event(5))
+    second.body_bytes(encode_event(5))
     second.end()
     assert caller.complete
 
@@ -311,9 +311,9 @@
     second.begin()
     for step in steps:
         if step == "present" and side.open:
-            side.body_bytes(event(next(present)))
+            side.body_bytes(encode_event(next(present)))
         elif step == "other" and second.open:
-            second.body_bytes(event(next(other)))
+            second.body_bytes(encode_event(next(other)))
         elif step == "wait":
             harness.clock.advance(0.05)
         elif step == "break":
@@ -321,7 +321,7 @@
         elif step == "refuse":
             second.break_off()
     harness.clock.advance(1.0)
-    whole = b"".join(map(event, range(1, 100)))
+    whole = b"".join(map(encode_event, range(1, 100)))
     assert whole.startswith(caller.data)
     assert not caller.complete
     session.cancel()
@@ -330,14 +330,14 @@
 @given(st.lists(st.integers(1, 9), min_size=1), st.data())
 def test_splitting_keeps_every_byte_of_whole_events(ids, data):
     """Events come out whole and unchanged, however the bytes are cut."""
-    stream = b"".join(map(event, ids))
+    stream = b"".join(map(encode_event, ids))
     splitter, out = EventSplitter(), []
     while stream:
         cut = data.draw(st.integers(1, len(stream)))
         out += splitter.feed(stream[:cut])
         stream = stream[cut:]
     assert [found.id for found in out] == ids
-    assert b"".join(found.data for found in out) == b"".join(map(event, ids))
+    assert b"".join(found.data for found in out) == b"".join(map(encode_event, ids))
 
 
 @given(st.lists(st.sampled_from(["event", "break", "end"]), max_size=25), st.data())
@@ -356,9 +356,9 @@
             break
         if step == "event":
             next_id = (session.last_event or 0) + data.draw(st.integers(-1, 2))
-            side.body_bytes(event(max(1, next_id)))
+            side.body_bytes(encode_event(max(1, next_id)))
         elif step == "break":
-            session.memory.keep_copy(HeldCopy(entry("e2"), entry("e2"), "h"))
+            session.memory.keep_copy(HeldCopy(make_entry("e2"), make_entry("e2"), "h"))
             side.break_off()
             if harness.pool.connections[-1] is not side:
                 harness.pool.connections[-1].begin()
--- a/tests/ingress/test_dispatch.py
+++ b/tests/ingress/test_dispatch.py
@@ -20,7 +20,7 @@
     ServiceTraits,
 )
 from guavacleat.routes.holder import RouteHolder
-from tests.forwarding.harness import ENGINE, FakeCaller, FakeWire, ForwardingHarness, event
+from tests.forwarding.harness import ENGINE, FakeCaller, FakeWire, ForwardingHarness, encode_event
 
 
 class KeyedWire(FakeWire):
@@ -229,7 +229,7 @@
     ask(dispatch, path="/stream/x")
     side = harness.pool.connections[0]
     side.begin()
-    side.body_bytes(event(1))
+    side.body_bytes(encode_event(1))
     side.break_off()
     assert [line["outcome"] for line in ends] == ["CUT"]
 
@@ -282,7 +282,7 @@
     ask(dispatch, path)
     side = harness.pool.connections[0]
     side.begin()
-    side.body_bytes(event(1))
+    side.body_bytes(encode_event(1))
     harness.clock.advance(0.5)
     side.end()
     assert [line["late"] for line in ends] == [late]
--- a/tests/membership/test_registry.py
+++ b/tests/membership/test_registry.py
@@ -14,7 +14,7 @@
     EndpointState,
 )
 from tests.conftest import examples
-from tests.forwarding.harness import entry
+from tests.forwarding.harness import make_entry
 
 DRAINING = EndpointState.DRAINING
 
@@ -27,8 +27,8 @@
 @pytest.fixture
 def registry(clock, left):
     registry = EndpointRegistry(clock, left.append)
-    registry.observe(entry("e1"))
-    registry.observe(entry("e2"))
+    registry.observe(make_entry("e1"))
+    registry.observe(make_entry("e2"))
     return registry
 
 
@@ -37,8 +37,8 @@
 
 
 def test_a_draining_endpoint_gets_no_new_work_and_is_told_once(registry, left):
-    registry.observe(entry("e1", state=DRAINING))
-    registry.observe(entry("e1", state=DRAINING))
+    registry.observe(make_entry("e1", state=DRAINING))
+    registry.observe(make_entry("e1", state=DRAINING))
     registry.remove("e1")
     assert ready_ids(registry) == ["e2"]
     assert [found.id for found in left] == ["e1"]
@@ -68,14 +68,14 @@
     registry.observe_listing(set())
     assert ready_ids(registry) == ["e1", "e2"]
     clock.advance(1)
-    registry.observe(entry("e1"))
+    registry.observe(make_entry("e1"))
     clock.advance(REREGISTRATION_SECONDS)
     assert ready_ids(registry) == ["e1"]
     assert [found.id for found in left] == ["e2"]
 
 
 def test_a_draining_entry_that_vanishes_in_an_outage_is_gone(registry, clock):
-    registry.observe(entry("e1", state=DRAINING))
+    registry.observe(make_entry("e1", state=DRAINING))
     registry.record_store_health(False)
     registry.record_store_health(True)
     registry.observe_listing({"e2"})
@@ -104,11 +104,11 @@
     Sequence: it drains and is removed; a peer that heard later of less still tells it as ready.
     Cause: what is known of an endpoint may only be replaced by a later revision.
     """
-    registry.observe(entry("e1", revision=5, state=DRAINING))
-    registry.observe_peer_change(EndpointChange("e1", 4, entry("e1", revision=4)))
+    registry.observe(make_entry("e1", revision=5, state=DRAINING))
+    registry.observe_peer_change(EndpointChange("e1", 4, make_entry("e1", revision=4)))
     assert ready_ids(registry) == ["e2"]
     registry.remove("e1", revision=7)
-    registry.observe_peer_change(EndpointChange("e1", 6, entry("e1", revision=6)))
+    registry.observe_peer_change(EndpointChange("e1", 6, make_entry("e1", revision=6)))
     assert ready_ids(registry) == ["e2"]
 
 
@@ -140,18 +140,18 @@
     Sequence: an engine crashes and starts again, under the id that it had, before its entry lapses.
     Cause: its entry looks as before but for the time of its start.
     """
-    registry.observe(entry("e1", revision=5, started_ms=1000))
-    registry.observe(entry("e1", revision=6, started_ms=2000))
+    registry.observe(make_entry("e1", revision=5, started_ms=1000))
+    registry.observe(make_entry("e1", revision=6, started_ms=2000))
     assert [former.started_ms for former in restarted] == [1000]
     assert ready_ids(registry) == ["e1", "e2"]
     assert left == []
 
 
 def test_one_that_was_leaving_takes_work_after_it_started_again(registry, restarted, left):
-    registry.observe(entry("e1", revision=5, state=DRAINING, started_ms=1000))
-    registry.observe(entry("e1", revision=6, started_ms=2000))
+    registry.observe(make_entry("e1", revision=5, state=DRAINING, started_ms=1000))
+    registry.observe(make_entry("e1", revision=6, started_ms=2000))
     assert ready_ids(registry) == ["e1", "e2"]
-    registry.observe(entry("e1", revision=7, state=DRAINING, started_ms=2000))
+    registry.observe(make_entry("e1", revision=7, state=DRAINING, started_ms=2000))
     assert [found.started_ms for found in left] == [1000, 2000]
 
 
@@ -161,8 +161,8 @@
     Sequence: its former process wrote that it drains; that write takes effect seconds later.
     Cause: the store's revision is newer, the process that it tells of is older.
     """
-    registry.observe(entry("e1", revision=5, started_ms=2000))
-    registry.observe(entry("e1", revision=6, state=DRAINING, started_ms=1000))
+    registry.observe(make_entry("e1", revision=5, started_ms=2000))
+    registry.observe(make_entry("e1", revision=6, state=DRAINING, started_ms=1000))
     assert ready_ids(registry) == ["e1", "e2"]
     assert restarted == []
 
@@ -174,7 +174,9 @@
     watch brings the removal from before.
     Cause: the removal has an older revision than the entry.
     """
-    registry.observe_peer_change(EndpointChange("e1", 9, entry("e1", revision=9, started_ms=2000)))
+    registry.observe_peer_change(
+        EndpointChange("e1", 9, make_entry("e1", revision=9, started_ms=2000))
+    )
     registry.remove("e1", revision=8)
     assert ready_ids(registry) == ["e1", "e2"]
 
@@ -199,12 +201,12 @@
     assert len(unreadable) == 1
     told = {change.id: change.entry.state for change in registry.recent_changes()}
     assert told == {"e1": EndpointState.UNUSABLE, "e2": EndpointState.READY}, "also to peers"
-    registry.observe(entry("e1", revision=8))
+    registry.observe(make_entry("e1", revision=8))
     assert ready_ids(registry) == ["e1", "e2"]
 
 
 def test_an_unreadable_entry_does_not_make_a_leaving_endpoint_stay(registry, left):
-    registry.observe(entry("e1", revision=5, state=DRAINING))
+    registry.observe(make_entry("e1", revision=5, state=DRAINING))
     registry.observe_unreadable("e1", 6, "KeyError('service')")
     registry.observe_unreadable("nobody", 7, "KeyError('service')")
     assert registry.entries_by_id["e1"].state is DRAINING
@@ -229,7 +231,7 @@
 
     def _write(self, id, state, started_ms):
         self.revision += 1
-        written = entry(id, state=state, revision=self.revision, started_ms=started_ms)
+        written = make_entry(id, state=state, revision=self.revision, started_ms=started_ms)
         self.registry.observe(written)
         return written
 
@@ -299,12 +301,12 @@
     @rule(id=ids)
     def observe(self, id):
         if id not in self.draining:
-            self.registry.observe(entry(id))
+            self.registry.observe(make_entry(id))
 
     @rule(id=ids)
     def drain(self, id):
         self.draining.add(id)
-        self.registry.observe(entry(id, state=DRAINING))
+        self.registry.observe(make_entry(id, state=DRAINING))
 
     @rule(id=ids)
     def remove(self, id):
@@ -343,8 +345,8 @@
     Cause: the removal was compared with what had been told, not with the entry itself.
     """
     registry = EndpointRegistry(clock)
-    registry.observe(entry("e1", revision=10))
-    registry.observe(entry("e1", revision=15))
+    registry.observe(make_entry("e1", revision=10))
+    registry.observe(make_entry("e1", revision=15))
     registry.observe_peer_change(EndpointChange("e1", 14, None))
     assert ready_ids(registry) == ["e1"]
 
@@ -357,6 +359,10 @@
     Cause: an unknown endpoint was taken for a new one, although the listing is newer.
     """
     registry = EndpointRegistry(clock)
-    registry.observe_peer_change(EndpointChange("e1", 10, entry("e1", revision=10)), known_to=18)
-    registry.observe_peer_change(EndpointChange("e2", 19, entry("e2", revision=19)), known_to=18)
+    registry.observe_peer_change(
+        EndpointChange("e1", 10, make_entry("e1", revision=10)), known_to=18
+    )
+    registry.observe_peer_change(
+        EndpointChange("e2", 19, make_entry("e2", revision=19)), known_to=18
+    )
     assert ready_ids(registry) == ["e2"]
--- a/tests/membership/test_status_poll.py
+++ b/tests/membership/test_status_poll.py
@@ -21,7 +21,7 @@
 from guavacleat.peers import PeerTable
 from guavacleat.peers.report import GatewayReport
 from guavacleat.placement import EndpointLoad, LoadTracker, Run
-from tests.forwarding.harness import entry
+from tests.forwarding.harness import make_entry
 
 NOTICE_SECONDS = 1.5
 # So many that two gateways surely share them.
@@ -60,9 +60,9 @@
         self.peers = PeerTable(clock)
         self.load.peers = self.peers
         for id in ENGINES:
-            self.registry.observe(entry(id, revision=3))
+            self.registry.observe(make_entry(id, revision=3))
             self.load.begin(id, Run("r" + id, 3000))
-        self.registry.observe(entry("idle", revision=3))
+        self.registry.observe(make_entry("idle", revision=3))
         self.registry.record_store_health(True)
         self.inquiry = EndpointStatusPoller(
             clock, None, Status(), self.registry, self.load, self.peers, "g1"
@@ -214,7 +214,7 @@
     fleet.registry.observe_leaving(fleet.registry.entries_by_id["e1"])
     told = {change.id: change for change in fleet.registry.recent_changes()}
     assert told["e1"].entry.state is EndpointState.DRAINING
-    fleet.registry.observe(entry("e1", revision=4))
+    fleet.registry.observe(make_entry("e1", revision=4))
     assert "e1" in [found.id for found in fleet.registry.ready("svc")]
 
 
--- a/tests/migration/test_evacuation.py
+++ b/tests/migration/test_evacuation.py
@@ -13,7 +13,7 @@
 from guavacleat.membership.registry import EndpointState
 from guavacleat.migration import Evacuator
 from guavacleat.routes import RequestKind
-from tests.forwarding.harness import ForwardingHarness, entry, event
+from tests.forwarding.harness import ForwardingHarness, encode_event, make_entry
 
 
 class Calls:
@@ -69,25 +69,25 @@
         defer.Deferred.fromCoroutine(session.run()).addErrback(lambda failure: None)
         side = harness.pool.connections[-1]
         side.begin(id=f"r{number}".encode())
-        side.body_bytes(b"".join(event(id) for id in range(1, events + 1)))
+        side.body_bytes(b"".join(encode_event(id) for id in range(1, events + 1)))
         found.append((session, caller, side))
     return sessions, found
 
 
 def leave(harness, sessions):
     """Give the notice, with two other engines ready."""
-    harness.ready("e1")
-    harness.ready("e2")
+    harness.set_endpoint("e1")
+    harness.set_endpoint("e2")
     evacuator = Evacuator(harness.context, sessions)
     harness.registry.on_leaving = evacuator.endpoint_leaving
-    harness.ready("leaver", state=EndpointState.DRAINING)
+    harness.set_endpoint("leaver", state=EndpointState.DRAINING)
 
 
 def produce(harness, side, first, count=1):
     """The engine's next events, 30 ms apart."""
     for id in range(first, first + count):
         harness.clock.advance(0.03)
-        side.body_bytes(event(id))
+        side.body_bytes(encode_event(id))
 
 
 def test_copies_are_made_one_at_a_time_and_no_run_is_stopped_for_them(harness, calls):
@@ -126,11 +126,11 @@
         assert len(harness.pool.connections) == number + 1
         second = harness.pool.connections[number]
         second.begin(id=id)
-        second.body_bytes(event(32))
+        second.body_bytes(encode_event(32))
         for next_id in range(32, 35):
             harness.clock.advance(0.03)
             for _, _, side in found:
-                side.body_bytes(event(next_id))
+                side.body_bytes(encode_event(next_id))
     assert not any(side.open for _, _, side in found)
 
 
@@ -148,7 +148,7 @@
     produce(harness, side, 32, 2)
     second.answer(503, signed=False, not_run=True, id=None)
     harness.clock.advance(0.1)
-    assert side.open and caller.data.endswith(event(33))
+    assert side.open and caller.data.endswith(encode_event(33))
     assert len(calls.made) == 2
 
 
@@ -192,14 +192,14 @@
     sessions, [(session, caller, side)] = streams(harness, 1)
     leave(harness, sessions)
     calls.answer(0, 200, "h0")
-    side.body_bytes(event(31))
+    side.body_bytes(encode_event(31))
     side.break_off()
     assert harness.pool.connections[1].headers[b"resume"] == b"h0 31"
 
 
 def test_a_stream_with_a_backup_is_handed_over_without_a_copy(harness, calls):
     sessions, [(session, caller, side)] = streams(harness, 1)
-    session.memory.keep_copy(HeldCopy(entry("e2"), entry("e2"), "r0", backup=True))
+    session.memory.keep_copy(HeldCopy(make_entry("e2"), make_entry("e2"), "r0", backup=True))
     leave(harness, sessions)
     produce(harness, side, 31)
     assert calls.made == []
@@ -214,7 +214,7 @@
     Cause: a backup takes half a second or more to hold the prompt; asked before, it is refused.
     """
     sessions, [(session, _, side)] = streams(harness, 1, events=5)
-    session.memory.keep_copy(HeldCopy(entry("e2"), entry("e2"), "r0", backup=True))
+    session.memory.keep_copy(HeldCopy(make_entry("e2"), make_entry("e2"), "r0", backup=True))
     leave(harness, sessions)
     produce(harness, side, 6)
     assert len(harness.pool.connections) == 1
@@ -227,8 +227,8 @@
     Cause: a backup that goes with its engine protects nothing; the stream must be copied.
     """
     sessions, [(session, _, _)] = streams(harness, 1)
-    session.memory.keep_copy(HeldCopy(entry("gone"), entry("gone"), "r0", backup=True))
-    Evacuator(harness.context, sessions).endpoint_leaving(entry("gone"))
+    session.memory.keep_copy(HeldCopy(make_entry("gone"), make_entry("gone"), "r0", backup=True))
+    Evacuator(harness.context, sessions).endpoint_leaving(make_entry("gone"))
     assert session.memory.copy is None
     leave(harness, sessions)
     assert calls.targets() == ["/copy"]
@@ -277,7 +277,7 @@
     Cause: the engine that keeps the backup would hold it for seconds.
     """
     _, [(session, caller, _)] = streams(harness, 1)
-    session.memory.keep_copy(HeldCopy(entry("e2"), entry("e2"), "r0", backup=True))
+    session.memory.keep_copy(HeldCopy(make_entry("e2"), make_entry("e2"), "r0", backup=True))
     caller.open = False
     session.cancel()
     assert calls.targets() == ["/free/r0"]
@@ -285,7 +285,7 @@
 
 def test_a_backup_of_a_run_that_ended_well_is_left_to_its_engine(harness, calls):
     _, [(session, _, side)] = streams(harness, 1)
-    session.memory.keep_copy(HeldCopy(entry("e2"), entry("e2"), "r0", backup=True))
+    session.memory.keep_copy(HeldCopy(make_entry("e2"), make_entry("e2"), "r0", backup=True))
     side.end()
     assert calls.made == []
 
@@ -299,13 +299,13 @@
 def start_again(harness, evacuator, name, former_start=1000):
     """The endpoint ``name`` crashes and is back under its id; the registry hears of it."""
     harness.registry.on_restarted = evacuator.endpoint_restarted
-    harness.registry.observe(entry(name, revision=9, started_ms=former_start + 500))
+    harness.registry.observe(make_entry(name, revision=9, started_ms=former_start + 500))
 
 
 @pytest.fixture
 def dated(harness):
     """The endpoint ``leaver`` tells when it started."""
-    harness.registry.observe(entry("leaver", revision=1, started_ms=1000))
+    harness.registry.observe(make_entry("leaver", revision=1, started_ms=1000))
     return harness
 
 
@@ -317,8 +317,8 @@
     """
     _, found = streams(dated, 1)
     session, _, side = found[0]
-    dated.ready("e1")
-    session.memory.keep_copy(HeldCopy(entry("e1"), session.leg.entry, "h0"))
+    dated.set_endpoint("e1")
+    session.memory.keep_copy(HeldCopy(make_entry("e1"), session.leg.entry, "h0"))
     start_again(dated, Evacuator(dated.context, dated.sessions), "leaver")
     clock.advance(0.5)
     assert side.abandoned
@@ -335,7 +335,7 @@
     session, caller, side = found[0]
     start_again(dated, Evacuator(dated.context, dated.sessions), "leaver")
     clock.advance(0.2)
-    side.body_bytes(event(31))
+    side.body_bytes(encode_event(31))
     clock.advance(1)
     assert not side.abandoned and not caller.was_cut
 
@@ -356,8 +356,8 @@
     """
     _, found = streams(dated, 1)
     session = found[0][0]
-    dated.registry.observe(entry("e1", revision=2, started_ms=1000))
-    session.memory.keep_copy(HeldCopy(entry("e1"), session.leg.entry, "h0"))
+    dated.registry.observe(make_entry("e1", revision=2, started_ms=1000))
+    session.memory.keep_copy(HeldCopy(make_entry("e1"), session.leg.entry, "h0"))
     start_again(dated, Evacuator(dated.context, dated.sessions), "e1")
     assert session.memory.copy is None
 
@@ -372,8 +372,8 @@
     sessions, found = streams(dated, 1)
     session = found[0][0]
     evacuator = Evacuator(dated.context, sessions)
-    dated.registry.observe(entry("e1", revision=2, started_ms=1000))
-    leaver = entry("leaver", state=EndpointState.DRAINING, revision=3, started_ms=1000)
+    dated.registry.observe(make_entry("e1", revision=2, started_ms=1000))
+    leaver = make_entry("leaver", state=EndpointState.DRAINING, revision=3, started_ms=1000)
     dated.registry.observe(leaver)
     evacuator.endpoint_leaving(leaver)
     assert calls.targets() == ["/copy"]
--- a/tests/peers/fleet.py
+++ b/tests/peers/fleet.py
@@ -21,7 +21,7 @@
 from guavacleat.routes.model import CallerLimits, RouteTable
 from guavacleat.store import ConflictError, StoredObject, StoreUnavailableError, WatchBatch
 from guavacleat.store.messages import HistoryLostError
-from tests.forwarding.harness import entry
+from tests.forwarding.harness import make_entry
 from tests.platform.test_settings import TEXT
 
 __all__ = ["Fleet", "STEP_SECONDS"]
@@ -282,4 +282,4 @@
 
     @staticmethod
     def decode_endpoint(id, state, revision):
-        return entry(id, state=EndpointState(state), revision=revision)
+        return make_entry(id, state=EndpointState(state), revision=revision)
--- a/tests/peers/test_peers.py
+++ b/tests/peers/test_peers.py
@@ -17,7 +17,7 @@
 from guavacleat.placement import EndpointLoad, LoadTracker, Run
 from guavacleat.quarantine import CrashTracker
 from guavacleat.store import ConflictError, StoredObject, StoreUnavailableError, WatchBatch
-from tests.forwarding.harness import entry
+from tests.forwarding.harness import make_entry
 
 COUNTS = st.integers(0, 2**31 - 1)
 LOADS = st.builds(EndpointLoad, COUNTS, COUNTS, COUNTS)
@@ -53,7 +53,7 @@
 
 @pytest.mark.parametrize("started_ms", [None, 1778085760007])
 def test_the_start_of_an_endpoint_survives_the_wire(started_ms):
-    change = EndpointChange("e1", 9, entry("e1", revision=9, started_ms=started_ms))
+    change = EndpointChange("e1", 9, make_entry("e1", revision=9, started_ms=started_ms))
     report = decode_report(encode_report(GatewayReport("g1", 1, 1, {}, [change])))
     assert report.changes[0].entry.started_ms == started_ms
 
@@ -231,8 +231,8 @@
 
 
 CHANGES = [
-    EndpointChange("e1", 5, entry("e1")),
-    EndpointChange("e1", 6, entry("e1", state=EndpointState.DRAINING)),
+    EndpointChange("e1", 5, make_entry("e1")),
+    EndpointChange("e1", 6, make_entry("e1", state=EndpointState.DRAINING)),
     EndpointChange("e1", 7, None),
 ]
 
@@ -257,10 +257,10 @@
     found, _ = exchange(clock, FakeStore())
     left = []
     found.registry.on_leaving = left.append
-    found.registry.observe(entry("e1", revision=1))
+    found.registry.observe(make_entry("e1", revision=1))
     changes = [
-        EndpointChange("e1", 5, entry("e1", state=EndpointState.DRAINING, revision=5)),
-        EndpointChange("e9", 6, entry("e9", revision=6)),
+        EndpointChange("e1", 5, make_entry("e1", state=EndpointState.DRAINING, revision=5)),
+        EndpointChange("e9", 6, make_entry("e9", revision=6)),
     ]
     data = encode_report(GatewayReport("g2", 1, 1, {}, changes))
     found.datagramReceived(data, ("10.0.0.2", 7200))
@@ -270,7 +270,7 @@
 
 def test_what_was_learnt_is_told_to_peers(clock):
     found, _ = exchange(clock, FakeStore())
-    found.registry.observe(entry("e1", revision=3))
+    found.registry.observe(make_entry("e1", revision=3))
     clock.advance(0.02)
     report_sent, _ = found.transport.sent[-1]
     assert [(change.id, change.revision) for change in report_sent.changes] == [("e1", 3)]
@@ -305,7 +305,7 @@
     Cause: what all have heard long ago made most of every report.
     """
     found, load = exchange(clock, FakeStore())
-    found.registry.observe(entry("e1", revision=5))
+    found.registry.observe(make_entry("e1", revision=5))
     sent = []
     for number in range(80):
         found.transport.sent.clear()
@@ -328,7 +328,7 @@
     """
     ids = [f"i-{number:010x}" for number in range(1700)]
     loads = {id: EndpointLoad(24, 34_000, 3_000) for id in ids}
-    changes = [EndpointChange(id, 10**6, entry(id, revision=10**6)) for id in ids[:100]]
+    changes = [EndpointChange(id, 10**6, make_entry(id, revision=10**6)) for id in ids[:100]]
     told = GatewayReport(
         "front-heliopolis-57",
         1 << 61,
--- a/tests/placement/test_choice.py
+++ b/tests/placement/test_choice.py
@@ -88,8 +88,8 @@
     leaving engine need.
     """
     source = harness.registry.entries_by_id["e1"]
-    harness.ready("e3")
-    harness.ready("e3", state=EndpointState.DRAINING)
+    harness.set_endpoint("e3")
+    harness.set_endpoint("e3", state=EndpointState.DRAINING)
     assert harness.context.placement.choose_backup_target(source, 1000, ENGINE) is None
     clock.advance(BACKUP_QUIET_SECONDS)
     assert harness.context.placement.choose_backup_target(source, 1000, ENGINE).id == "e2"
@@ -97,7 +97,7 @@
 
 def test_a_move_stays_in_its_data_centre_if_there_is_room(harness):
     source = harness.registry.entries_by_id["e1"]
-    harness.ready("far", data_centre="other")
+    harness.set_endpoint("far", data_centre="other")
     harness.load.begin("e2", Run("b", peak_tokens=ENGINE.memory_tokens // 2))
     assert harness.context.placement.choose_move_target(source, 1000, ENGINE, set()).id == "e2"
     harness.load.begin("e2", Run("c", peak_tokens=ENGINE.memory_tokens // 2))
