--- a/benchmarks/restore_cost.py
+++ b/benchmarks/restore_cost.py
@@ -21,9 +21,9 @@
 
 
 def calls(fleet, seconds):
-    before = fleet.store.asked
+    before = fleet.store.call_count
     fleet.pass_time(seconds)
-    return fleet.store.asked - before
+    return fleet.store.call_count - before
 
 
 def restore_once(fleet, number):
@@ -31,7 +31,7 @@
     calm = calls(fleet, MEASURED_SECONDS)
     fleet.store.copy()
     fleet.pass_time(LOST_SECONDS)
-    before = fleet.store.asked
+    before = fleet.store.call_count
     fleet.restore()
     id = f"after-{number}"
     fleet.set_endpoint(id, "ready")
@@ -42,7 +42,7 @@
             if id in gateway.ready_ids():
                 seen_by_gateway.setdefault(name, (step + 1) * STEP_SECONDS)
     assert len(seen_by_gateway) == len(fleet.gateways), "a gateway never heard of it"
-    return sorted(seen_by_gateway.values()), fleet.store.asked - before - calm
+    return sorted(seen_by_gateway.values()), fleet.store.call_count - before - calm
 
 
 def main():
--- a/src/guavacleat/gateway/app.py
+++ b/src/guavacleat/gateway/app.py
@@ -80,7 +80,7 @@
         try:
             progress = yield gateway.relay.run(completion, deployment.limits, sink, call.claim)
         except NotRunError as exc:
-            released = yield call.not_run()
+            released = yield call.release()
             gateway.metrics.outcome(account, klass, "not_run")
             told = exc if released else _with_new_key(exc)
             return _refuse(request, told, kind=_refusal_kind(completion))
@@ -90,11 +90,11 @@
         except KeyReusedError as exc:
             return _bad_request(request, exc)
         except Exception as exc:  # noqa: BLE001 - the caller must hear why its stream ended
-            call.broken()
+            call.mark_unknown()
             gateway.metrics.outcome(account, klass, "failed")
             sink.error("failed", str(exc))
             return b""
-        call.finished(progress)
+        call.finish(progress)
         gateway.metrics.outcome(account, klass, _outcome(progress))
         return b""
 
--- a/src/guavacleat/idempotency/guard.py
+++ b/src/guavacleat/idempotency/guard.py
@@ -31,7 +31,7 @@
         )
         self.claimed = True
 
-    def not_run(self) -> defer.Deferred:
+    def release(self) -> defer.Deferred:
         """The call was refused by every endpoint: fire with whether a retry may have the key.
 
         A caller told to come back before the release is recorded would, if this gateway then dies,
@@ -49,12 +49,12 @@
             RELEASE_WAIT_SECONDS, self.records.clock, onTimeoutCancel=lambda failure, timeout: False
         )
 
-    def broken(self) -> None:
+    def mark_unknown(self) -> None:
         """The call may have run and its answer is lost."""
         if self.claimed:
             self.records.mark_unknown(self.completion.call, self.completion.request_id)
 
-    def finished(self, progress) -> None:
+    def finish(self, progress) -> None:
         """Keep the answer for retries; ``progress`` is the finished ``StreamProgress``."""
         if self.claimed:
             self.records.finish(
--- a/src/guavacleat/idempotency/records.py
+++ b/src/guavacleat/idempotency/records.py
@@ -120,7 +120,7 @@
         )
         self._era: int | None = None
         self._settled_at = float("-inf")
-        store.on_era.append(self._restored)
+        store.era_listeners.append(self._restored)
 
     @defer.inlineCallbacks
     def claim(self, key: str, request_id: str, fingerprint: str = ""):
--- a/src/guavacleat/ingress/sources.py
+++ b/src/guavacleat/ingress/sources.py
@@ -98,10 +98,10 @@
             self._configuration_changed,
             on_health=self.registry.record_store_call,
             on_revision=lambda revision: self.configuration.record_store_answer(),
-            rests=self._configuration_watch_rests,
+            is_suspended=self._configuration_watch_rests,
             newest_only=True,
         )
-        self.configuration.on_newer = self.configuration_watch.wake
+        self.configuration.on_newer = self.configuration_watch.recheck
         self.endpoint_watch = self._watch(
             self.adapter.endpoint_kind,
             self._endpoint_changed,
@@ -109,7 +109,7 @@
             on_health=self.registry.record_store_health,
             on_listed=self._endpoints_listed,
             on_revision=self.endpoints.record_store_answer,
-            rests=self._endpoint_watch_rests,
+            is_suspended=self._endpoint_watch_rests,
         )
         self.exchange = PeerExchange(
             self.reactor,
@@ -126,7 +126,7 @@
             self.reactor, self.store, ingress.crashes, self._reads_quarantine
         )
         self.record.start()
-        self.store.on_era.append(self._store_restored)
+        self.store.era_listeners.append(self._store_restored)
         self.watches = [self.configuration_watch, self.endpoint_watch]
         for watch in self.watches:
             watch.start()
@@ -168,7 +168,7 @@
             # Peers that kept an endpoint tell nothing when it registers again.
             return False
         if self.endpoints.relist_is_due():
-            self.endpoint_watch.list_next()
+            self.endpoint_watch.relist()
             return False
         return True
 
@@ -185,7 +185,7 @@
     def _heard_peer(self) -> None:
         """Take in, after a peer's report, how far the endpoints' changes are known."""
         if era := self.endpoints.latest_reported_era():
-            self.store.learn_era(era)
+            self.store.observe_era(era)
         if self.endpoints.revision is not None:
             self.endpoint_watch.advance(self.endpoints.revision)
             self.registry.record_store_reached_by_peer(self.endpoints.as_of)
--- a/src/guavacleat/store/client.py
+++ b/src/guavacleat/store/client.py
@@ -47,7 +47,7 @@
     :param call_timeout: seconds until an answer begins, beyond a watch's wait; how long it may then
         take is ``http``'s to say.
     :ivar era: the latest era of the store that is known; None before the first answer.
-    :ivar on_era: called with each later era, before the answer that told it is handed out.
+    :ivar era_listeners: called with each later era, before the answer that told it is handed out.
     """
 
     def __init__(self, base_url: str, http=None, dialect=None, call_timeout: float = CALL_TIMEOUT):
@@ -57,7 +57,7 @@
         self.call_timeout = call_timeout
         self.calls_by_type: dict[str, int] = {"read": 0, "write": 0, "watch": 0}
         self.era: int | None = None
-        self.on_era: list = []
+        self.era_listeners: list = []
         # Bodies sent and received, without headers.
         self.bytes = 0
 
@@ -90,12 +90,12 @@
         return _of_era(self.dialect.decode_object(kind, answer), era)
 
     @defer.inlineCallbacks
-    def list_objects(self, kind: str, begun: Listing | None = None):
+    def list_objects(self, kind: str, partial_listing: Listing | None = None):
         """Fire with a :class:`WatchBatch` of every object of ``kind``.
 
-        :param begun: pages read before, by a call that failed; this one goes on after them.
+        :param partial_listing: the pages that an earlier, failed call read; continues after them.
         """
-        listing = Listing() if begun is None else begun
+        listing = Listing() if partial_listing is None else partial_listing
         while True:
             self.calls_by_type["read"] += 1
             path = self.dialect.list_path(kind, listing.after)
@@ -138,14 +138,14 @@
         _require_found(status, f"watching {kind}")
         return _batch_of_era(self.dialect.decode_changes(kind, body), era)
 
-    def learn_era(self, era: int) -> None:
+    def observe_era(self, era: int) -> None:
         """Take in an era that an answer or a peer told."""
         if self.era is None or era <= self.era:
             self.era = era if self.era is None else self.era
             return
         log_message(message_type="store:restored", era=era, before=self.era)
         self.era = era
-        for listener in self.on_era:
+        for listener in self.era_listeners:
             listener(era)
 
     def _check_era(self, response) -> int:
@@ -155,7 +155,7 @@
             era = int(text) if text is not None else (self.era or 0)
         except ValueError:
             raise StoreUnavailableError(f"{text!r} is no era") from None
-        self.learn_era(era)
+        self.observe_era(era)
         if era < self.era:
             raise FormerEraError(f"the answer is of era {era}, the store in {self.era}")
         return era
--- a/src/guavacleat/store/watch.py
+++ b/src/guavacleat/store/watch.py
@@ -30,7 +30,7 @@
 BACKOFF_MAX = 5.0
 # A watch waits a random part of its time between this and 1: a change wakes those of all gateways
 # at once, and in step they would all be deaf for as long when the store falls silent.
-LEAST_WAIT_SHARE = 0.6
+MIN_WAIT_FRACTION = 0.6
 # A loop that rests looks this often whether it still may.
 REST_LOOK_SECONDS = 0.2
 # Where only the newest of each object counts, a watch reads what one object can need, with its
@@ -46,8 +46,8 @@
     without it every write to the kind wakes every watcher. ``on_listed(names)`` hears the names of
     each whole listing, so that objects deleted unseen can be dropped. With ``newest_only`` versions
     between two that are heard may be left out. ``on_revision(revision)`` hears after each answer up
-    to which revision everything was told. While ``rests()`` is true no call is made; ``advance()``
-    takes in what was learnt meanwhile in another way.
+    to which revision everything was told. While ``is_suspended()`` is true no call is made;
+    ``advance()`` records a revision that was learned from peers meanwhile.
     """
 
     def __init__(
@@ -63,7 +63,7 @@
         backoff_max: float = BACKOFF_MAX,
         newest_only: bool = False,
         on_revision=None,
-        rests=lambda: False,
+        is_suspended=lambda: False,
     ):
         self.clock = clock
         self.store = store
@@ -77,8 +77,8 @@
         self.newest_only = newest_only
         self.most_bytes = NEWEST_BYTES if newest_only else None
         self.on_revision = on_revision or (lambda revision: None)
-        self.rests = rests
-        self.resting = False
+        self.is_suspended = is_suspended
+        self.suspended = False
         self.random = random.Random()
         self.refused = 0
         self.revision: int | None = None
@@ -98,23 +98,23 @@
     def stop(self) -> None:
         self.running = False
 
-    def wake(self) -> None:
+    def recheck(self) -> None:
         """Look at once whether to rest any longer; something newer is known to exist.
 
         Not after a failure: what is told again and again would be asked for as often.
         """
-        if self.resting and not self.failures and self._waiting.active():
+        if self.suspended and not self.failures and self._waiting.active():
             if self.newest_only:
                 # A watch would bring the versions since the loop last asked one by one.
-                self.list_next()
+                self.relist()
             self._waiting.reset(0)
 
     def advance(self, revision: int) -> None:
         """Everything up to ``revision`` is known already."""
-        if self.resting and self.revision is not None:
+        if self.suspended and self.revision is not None:
             self.revision = max(revision, self.revision)
 
-    def list_next(self) -> None:
+    def relist(self) -> None:
         """Read the objects themselves next, not their changes."""
         self.revision = None
         self._listing = Listing()
@@ -127,12 +127,12 @@
         """Make the next call, unless the loop may rest; a first listing is always made."""
         if not self.running:
             return
-        resting = self.revision is not None and self.rests()
-        if resting is not self.resting:
-            message = "watch:rests" if resting else "watch:resumes"
+        suspended = self.revision is not None and self.is_suspended()
+        if suspended is not self.suspended:
+            message = "watch:rests" if suspended else "watch:resumes"
             log_message(message_type=message, kind=self.kind, revision=self.revision)
-        self.resting = resting
-        if resting:
+        self.suspended = suspended
+        if suspended:
             self._next(REST_LOOK_SECONDS)
             return
         self.called_at = self.clock.seconds()
@@ -168,7 +168,7 @@
             if listing:
                 batch = yield self.store.list_objects(self.kind, self._listing)
             else:
-                wait = self.wait * self.random.uniform(LEAST_WAIT_SHARE, 1.0)
+                wait = self.wait * self.random.uniform(MIN_WAIT_FRACTION, 1.0)
                 if self.failures:
                     wait = min(self.wait, RECOVERY_WAIT)
                 batch = yield self.store.watch(self.kind, self.revision, wait, self.most_bytes)
@@ -198,7 +198,7 @@
 
     def _list_next(self, reason: str) -> None:
         log_message(message_type=reason, kind=self.kind, since=self.revision)
-        self.list_next()
+        self.relist()
         self._next(0)
 
     def _offer(self, stored) -> None:
--- a/tests/gateway/test_app.py
+++ b/tests/gateway/test_app.py
@@ -69,7 +69,7 @@
         self.claimed = True
         return defer.succeed(None)
 
-    def not_run(self):
+    def release(self):
         return defer.succeed(False)
 
 
--- a/tests/idempotency/test_claims.py
+++ b/tests/idempotency/test_claims.py
@@ -134,7 +134,7 @@
     stub_http.flush()
     store_app.faults.delay = 0.5
     told = []
-    guard.not_run().addCallback(told.append)
+    guard.release().addCallback(told.append)
     clock.advance(0.5)
     stub_http.flush()
     assert told == [], "the release is read for, not yet written"
@@ -156,7 +156,7 @@
     stub_http.flush()
     records.store.http.dead = True
     told = []
-    guard.not_run().addCallback(told.append)
+    guard.release().addCallback(told.append)
     clock.advance(RELEASE_WAIT_SECONDS - 0.1)
     assert told == []
     clock.advance(0.1)
--- a/tests/idempotency/test_claims_machine.py
+++ b/tests/idempotency/test_claims_machine.py
@@ -65,7 +65,7 @@
             if self.epochs[gateway] != epoch:
                 return
             if refuse:
-                guard.not_run().addCallback(released)
+                guard.release().addCallback(released)
                 return
             attempt.ran = True
             attempt.outcome = "answered"
--- a/tests/peers/fleet.py
+++ b/tests/peers/fleet.py
@@ -78,9 +78,9 @@
     def __init__(self, store: SharedStore):
         self.store = store
         self.state = "open"
-        self.on_era = []
+        self.era_listeners = []
 
-    def learn_era(self, era):
+    def observe_era(self, era):
         """This store never comes back from a copy."""
 
     def set_state(self, state):
@@ -109,7 +109,7 @@
     def get(self, kind, name):
         return self._failure() or defer.succeed(self.store.objects.get((kind, name)))
 
-    def list_objects(self, kind, begun=None):
+    def list_objects(self, kind, partial_listing=None):
         return self._failure() or defer.succeed(self.store.listing(kind))
 
     def watch(self, kind, since, wait, most_bytes=None):
--- a/tests/platform/test_store.py
+++ b/tests/platform/test_store.py
@@ -9,7 +9,7 @@
 from guavacleat.store import ConflictError, StoreClient, StoreUnavailableError
 from guavacleat.store.client import CALL_TIMEOUT, WATCH_WAIT
 from guavacleat.store.messages import MUST_NOT_EXIST
-from guavacleat.store.watch import BACKOFF_MAX, LEAST_WAIT_SHARE, RECOVERY_WAIT, WatchLoop
+from guavacleat.store.watch import BACKOFF_MAX, MIN_WAIT_FRACTION, RECOVERY_WAIT, WatchLoop
 from tests.conftest import result_of
 from tests.platform.store_standin import PAGE, StoreStandin
 
@@ -234,12 +234,12 @@
     standin.fault = None
     clock.advance(1)
     waits = [int(url.rpartition("waitMs=")[2]) for _, url in standin.calls if "waitMs=" in url]
-    assert LEAST_WAIT_SHARE * WATCH_WAIT * 1000 - 1 <= waits[0] <= WATCH_WAIT * 1000
+    assert MIN_WAIT_FRACTION * WATCH_WAIT * 1000 - 1 <= waits[0] <= WATCH_WAIT * 1000
     assert waits[1] == RECOVERY_WAIT * 1000
     standin.write("servers", "e2", {})
     clock.advance(0)
     last = int(standin.calls[-1][1].rpartition("waitMs=")[2])
-    assert LEAST_WAIT_SHARE * WATCH_WAIT * 1000 - 1 <= last <= WATCH_WAIT * 1000
+    assert MIN_WAIT_FRACTION * WATCH_WAIT * 1000 - 1 <= last <= WATCH_WAIT * 1000
 
 
 def test_an_answer_of_an_unknown_shape_does_not_end_the_loop(client, standin, clock):
@@ -324,4 +324,4 @@
         clock.advance(0)
     waits = [int(url.rpartition("waitMs=")[2]) for _, url in standin.calls if "waitMs=" in url]
     assert len(set(waits)) > 10
-    assert min(waits) >= LEAST_WAIT_SHARE * WATCH_WAIT * 1000 - 1
+    assert min(waits) >= MIN_WAIT_FRACTION * WATCH_WAIT * 1000 - 1
--- a/tests/restore/fleet.py
+++ b/tests/restore/fleet.py
@@ -25,7 +25,7 @@
         self.state = "open"
 
     def request(self, method, url, data=None, timeout=None, most_bytes=None):
-        self.store.asked += 1
+        self.store.call_count += 1
         if self.state != "open":
             return defer.fail(ConnectionError(self.state))
         answer = self.store.request(method, url, data, timeout)
@@ -46,7 +46,7 @@
 
     def __init__(self, clock):
         super().__init__(clock)
-        self.asked = 0
+        self.call_count = 0
 
     def write(self, kind, name, spec, deleted=False):
         if deleted:
--- a/tests/restore/test_gateways.py
+++ b/tests/restore/test_gateways.py
@@ -133,9 +133,9 @@
 
 
 def _calls(fleet, seconds):
-    before = fleet.store.asked
+    before = fleet.store.call_count
     fleet.pass_time(seconds)
-    return fleet.store.asked - before
+    return fleet.store.call_count - before
 
 
 def test_a_late_answer_of_the_former_era_changes_nothing(fleet):
