--- a/src/guavacleat/forwarding/request.py
+++ b/src/guavacleat/forwarding/request.py
@@ -56,7 +56,7 @@
         self.traits = traits
         self.version = version
         self.arrived = arrived
-        time_limit = route.timeout if metadata.caller_timeout is None else metadata.time_limit
+        time_limit = route.timeout if metadata.caller_timeout is None else metadata.caller_timeout
         self.deadline = arrived + min(time_limit, route.timeout)
         self.headers = headers
         self.forecast = forecast or LengthForecast(metadata.max_output_tokens or UNKNOWN_LENGTH)
