--- a/src/guavacleat/forwarding/__init__.py
+++ b/src/guavacleat/forwarding/__init__.py
@@ -1,1 +1,1 @@
-"""One caller's request on its way: attempts, deadline, checked answers, streams that move."""
+"""Forwarding of requests to endpoints: retries, deadlines, response checks, stream migration."""
--- /dev/null
+++ b/src/guavacleat/forwarding/attempt_opener.py
@@ -0,0 +1,109 @@
+"""Opens streaming attempts: connects, selects a backup target and sends the request."""
+
+from guavacleat.forwarding.memory import RunCopy, StreamMemory
+from guavacleat.forwarding.messages import ForwardingMetadata, ResumePoint
+from guavacleat.forwarding.request import ForwardedRequest
+from guavacleat.forwarding.stream_attempt import StreamAttempt, StreamOutcome
+from guavacleat.membership.registry import EndpointEntry
+
+__all__ = ["AttemptOpener"]
+
+
+class AttemptOpener:
+    """Opens the attempts of one stream.
+
+    :param session: the :class:`~.session.StreamSession`, which observes the attempts.
+    :param log: logs a message with the request's id and the given fields.
+    """
+
+    def __init__(self, session, request: ForwardedRequest, context, memory: StreamMemory, log):
+        self.session = session
+        self.request = request
+        self.context = context
+        self.memory = memory
+        self.log = log
+
+    async def open(
+        self, entry: EndpointEntry, resume: ResumePoint | None, with_backup: bool = True
+    ) -> StreamAttempt | None:
+        """Send the request to ``entry``, resuming at ``resume`` if given.
+
+        Returns None if the connection failed, or if the stream ended meanwhile.
+
+        :param with_backup: whether a backup may be requested.
+        """
+        run = self.memory.begin_run(entry, resumed=resume is not None)
+        try:
+            connection = await self.context.pool.connect(entry.address)
+        except Exception as exc:  # noqa: BLE001 - no connection: refused, timed out, unreachable
+            self.context.load.end(entry.id, run)
+            self.context.load.record_failure(entry.id)
+            self.log("stream:unreachable", endpoint=entry.id, error=repr(exc))
+            return None
+        if self.session.finished or self.session.time_left() <= 0:
+            self.context.load.end(entry.id, run)
+            connection.abandon()
+            return None
+        backup = self._place_backup(entry) if with_backup else None
+        self._log_placed(entry, backup, resume)
+        self.context.quarantine.request_sent(self.request, entry.id)
+        attempt = StreamAttempt(entry, self.request.metadata.id, self.context.wire, self.session)
+        attempt.connection, attempt.run, attempt.backup = connection, run, backup
+        attempt.began = self.context.clock.seconds()
+        attempt.done.addBoth(self._attempt_finished, attempt)
+        self._send(attempt, resume)
+        return attempt
+
+    def _send(self, attempt: StreamAttempt, resume: ResumePoint | None) -> None:
+        request = self.request
+        forwarding_metadata = ForwardingMetadata(
+            attempt.entry.id,
+            self.session.time_left(),
+            request.account_name,
+            request.priority,
+            resume,
+            attempt.backup.entry.address if attempt.backup else None,
+        )
+        head = request.exchange.head
+        headers = self.context.wire.endpoint_headers(request.headers, forwarding_metadata)
+        attempt.connection.send(head.method, head.target, headers, request.exchange.body, attempt)
+
+    def _attempt_finished(self, outcome: StreamOutcome, attempt: StreamAttempt) -> StreamOutcome:
+        self.context.load.end(attempt.entry.id, attempt.run)
+        if outcome is StreamOutcome.BROKEN:
+            # It may have crashed, so placement avoids it for a few seconds.
+            self.context.load.record_failure(attempt.entry.id)
+        if attempt.disconnected:
+            self.context.quarantine.request_interrupted(
+                self.request, attempt.entry.id, attempt.began
+            )
+        elif outcome is StreamOutcome.COMPLETE:
+            self.context.quarantine.request_completed(self.request)
+        self.context.quarantine.run_finished(self.request)
+        return outcome
+
+    def _place_backup(self, entry: EndpointEntry) -> RunCopy | None:
+        """Choose an engine for the run's backup; None if none has enough free memory."""
+        engine = self.request.traits.engine
+        if engine is None or not engine.backups or not self.memory.worth_moving():
+            return None
+        if not self.context.quarantine.is_unrestricted(self.request):
+            return None
+        expected = self.memory.expected_tokens()
+        target = self.context.placement.choose_backup_target(entry, expected, engine)
+        if target is None:
+            return None
+        return RunCopy(target, target, self.request.metadata.id, backup=True)
+
+    def _log_placed(self, entry, backup: RunCopy | None, resume: ResumePoint | None) -> None:
+        """Log the chosen endpoint's load, including this run, as this gateway knows it."""
+        load = self.context.load.total(entry.id)
+        self.log(
+            "stream:placed",
+            endpoint=entry.id,
+            resumed=resume is not None,
+            backup=backup.entry.id if backup else None,
+            runs=load.runs,
+            expected=load.peak_tokens,
+            unread=load.unread_tokens,
+        )
--- a/src/guavacleat/forwarding/context.py
+++ b/src/guavacleat/forwarding/context.py
@@ -1,10 +1,10 @@
-"""The context of a gateway that forwarding a request uses."""
+"""The gateway components that forwarding uses."""
 
 __all__ = ["ForwardingContext"]
 
 
 class ForwardingContext:
-    """Holds one of each; see the classes named.
+    """Components shared by all forwarded requests.
 
     :param clock: an ``IReactorTime``.
     :param pool: :class:`~guavacleat.http1.pool.ConnectionPool`.
--- a/src/guavacleat/forwarding/copies.py
+++ b/src/guavacleat/forwarding/copies.py
@@ -1,4 +1,4 @@
-"""Freeing copies of a run's memory that nobody will go on from."""
+"""Frees unused copies of a run's memory."""
 
 from eliot import log_message
 
@@ -6,19 +6,26 @@
 
 __all__ = ["free_copy"]
 
-FREE_SECONDS = 1.0
+FREE_TIMEOUT_SECONDS = 1.0
 
 
 async def free_copy(context, source_address: tuple[str, int], handle: str) -> None:
     """Free the copy ``handle`` at its source.
 
-    An engine keeps an unused copy's memory and slot for some five seconds; a caller that leaves
-    would hold the memory of two generations for that long.
+    Otherwise the engine keeps the memory and the slot until the copy expires after about five
+    seconds.
     """
     target = context.wire.free_copy_target(handle)
     try:
         await call(
-            context.clock, context.pool, source_address, b"DELETE", target, [], b"", FREE_SECONDS
+            context.clock,
+            context.pool,
+            source_address,
+            b"DELETE",
+            target,
+            [],
+            b"",
+            FREE_TIMEOUT_SECONDS,
         )
     except CallBrokenError as exc:
         log_message(message_type="move:not-freed", handle=handle, error=repr(exc))
--- a/src/guavacleat/forwarding/events.py
+++ b/src/guavacleat/forwarding/events.py
@@ -1,4 +1,4 @@
-"""Splitting a stream's bytes into whole events (text/event-stream) without changing them."""
+"""Splits a server-sent event stream (text/event-stream) into unmodified events."""
 
 __all__ = ["EventSplitter", "StreamEvent"]
 
@@ -7,7 +7,7 @@
 
 
 class StreamEvent:
-    """One event as it came: ``id`` is None for an event without one (a comment, say)."""
+    """One event as received; ``id`` is None if it has none, such as a comment."""
 
     __slots__ = ("id", "data")
 
@@ -17,31 +17,30 @@
 
 
 class EventSplitter:
-    """Collects bytes until an event is whole.
+    """Buffers bytes until an event is complete.
 
-    An engine that crashes may cut its stream inside an event. A caller that got the first half
-    could not go on elsewhere, so only whole events are passed on.
+    A stream can only resume at an event boundary, so a partial event is never forwarded.
     """
 
     def __init__(self):
-        self.rest = b""
+        self.remainder = b""
 
     def feed(self, data: bytes) -> list[StreamEvent]:
-        """Return the events that ``data`` completes; raise ValueError if one grows too large."""
-        self.rest += data
+        """Return the events that ``data`` completes; raise ValueError if one is too large."""
+        self.remainder += data
         events = []
-        end = _end_of_event(self.rest)
+        end = _end_of_event(self.remainder)
         while end:
-            events.append(StreamEvent(_event_id(self.rest[:end]), self.rest[:end]))
-            self.rest = self.rest[end:]
-            end = _end_of_event(self.rest)
-        if len(self.rest) > MAX_EVENT_BYTES:
-            raise ValueError(f"an event of more than {MAX_EVENT_BYTES} bytes")
+            events.append(StreamEvent(_event_id(self.remainder[:end]), self.remainder[:end]))
+            self.remainder = self.remainder[end:]
+            end = _end_of_event(self.remainder)
+        if len(self.remainder) > MAX_EVENT_BYTES:
+            raise ValueError(f"event is larger than {MAX_EVENT_BYTES} bytes")
         return events
 
 
 def _end_of_event(data: bytes) -> int:
-    """Where the first event ends, 0 if none is whole."""
+    """Return the end offset of the first event; 0 if none is complete."""
     ends = [data.find(separator) + len(separator) for separator in SEPARATORS if separator in data]
     return min(ends, default=0)
 
--- a/src/guavacleat/forwarding/handover.py
+++ b/src/guavacleat/forwarding/handover.py
@@ -1,124 +1,123 @@
-"""A stream that goes on at another engine while its present engine still runs it.
+"""Moves a stream to another engine while its current engine still runs it.
 
-An engine that leaves takes all its streams with it at one moment. Where several go on at the same
-engine then, each waits for the others' last tokens to be read, and their callers see pauses of 0.2
-to 0.3 s. Handed over one after the other, each pauses only for its own.
+Streams that resume on the same engine at the same time wait for each other's prefill. Handing them
+over one by one, before their engine stops, keeps the pauses short.
 
-The present engine is left at the first event from the other one, or after ``OVERLAP_SECONDS``: a
-run may not be worked on twice for longer than 0.4 s.
+The attempt on the current engine ends at the first event from the new one, or after
+``OVERLAP_SECONDS``: a run may execute on two engines for at most 0.4 s.
 """
 
 import collections
 
 from twisted.internet import defer
 
-from guavacleat.forwarding.leg import Leg, LegEnd
 from guavacleat.forwarding.messages import ResumePoint
+from guavacleat.forwarding.stream_attempt import StreamAttempt, StreamOutcome
 
 __all__ = ["Handover"]
 
-# Well below the time that both engines may run the stream, for the way to either of them.
+# Below the 0.4 s for which both engines may run the stream, to allow for network latency.
 OVERLAP_SECONDS = 0.25
-# Longest wait for the next event: the request is sent right after one, so that the pause does not
-# begin with waiting for nothing.
-NEXT_EVENT_SECONDS = 0.08
-# The other engine is behind by what it takes to begin there. Events of the present one are passed
-# on later by this much meanwhile, which takes it off the pause in the end.
-HOLD_SECONDS = 0.09
+# Maximum wait for the current engine's next event; the resume request is sent right after it.
+NEXT_EVENT_TIMEOUT_SECONDS = 0.08
+# Delay of the current engine's events during the handover, which hides part of the new engine's
+# startup time.
+EVENT_DELAY_SECONDS = 0.09
 
 
 class Handover:
-    """One attempt for ``session``, a :class:`~.session.StreamSession`, which holds a copy.
+    """One handover of ``session``, a :class:`~.session.StreamSession` that has a copy.
 
-    :param leg: the stream at the other engine, once it was asked for.
+    :param attempt: the attempt on the new engine, once it was sent.
     """
 
     def __init__(self, session):
         self.session = session
-        self.leg: Leg | None = None
-        # Fire, each once: when it is known whether there is a leg; with whether the stream went on
-        # there; when the present engine sent an event.
+        self.attempt: StreamAttempt | None = None
+        # Fires when the attempt was opened or could not be.
         self._opened = defer.Deferred()
+        # Fires with whether the stream switched to the new engine.
         self._ended = defer.Deferred()
+        # Fires at the current engine's next event.
         self._event = defer.Deferred()
-        # Ends the time in which both engines may run the stream.
+        # Timer for OVERLAP_SECONDS.
         self._overlap = None
-        # Events of the present engine that came after the other one was asked.
-        self._held: collections.deque = collections.deque()
+        # Events that the current engine sent after the new attempt was opened.
+        self._delayed: collections.deque = collections.deque()
 
     async def run(self) -> bool:
-        """Return whether the stream goes on at the other engine."""
+        """Run the handover; return whether the stream switched to the new engine."""
         session = self.session
         clock = session.context.clock
         copy = session.memory.copy
         session.context.budget.record_retry(session.request.service)
-        timer = clock.callLater(NEXT_EVENT_SECONDS, self.note_event)
+        timer = clock.callLater(NEXT_EVENT_TIMEOUT_SECONDS, self.stop_waiting_for_event)
         await self._event
         if timer.active():
             timer.cancel()
-        if session.memory.copy is not copy or session.finished or session.leg.ended:
+        if session.memory.copy is not copy or session.finished or session.attempt.ended:
             self._opened.callback(None)
             return False
         point = ResumePoint(copy.source.address, copy.handle, session.last_event)
-        self.leg = await session.opener.open(copy.entry, point, protect=False)
-        if self.leg is not None:
+        self.attempt = await session.opener.open(copy.entry, point, with_backup=False)
+        if self.attempt is not None:
             session.memory.drop_copy()
-            self._overlap = clock.callLater(OVERLAP_SECONDS, session.leave_engine)
-            self.leg.done.addCallback(self._leg_ended)
+            self._overlap = clock.callLater(OVERLAP_SECONDS, session.stop_current_attempt)
+            self.attempt.done.addCallback(self._attempt_ended)
         self._opened.callback(None)
-        if self.leg is None:
+        if self.attempt is None:
             return False
         return await self._ended
 
-    def present_event(self, leg: Leg, event) -> None:
-        """The present engine sent an event: pass it on, late once the other engine was asked."""
-        if self.leg is None:
-            self.session.pass_on(leg, event)
-            self.note_event()
+    def delay_event(self, attempt: StreamAttempt, event) -> None:
+        """Forward an event of the current engine, with a delay once the new attempt is open."""
+        if self.attempt is None:
+            self.session.forward_event(attempt, event)
+            self.stop_waiting_for_event()
             return
-        self._held.append((leg, event))
-        self.session.context.clock.callLater(HOLD_SECONDS, self._pass_held)
+        self._delayed.append((attempt, event))
+        self.session.context.clock.callLater(EVENT_DELAY_SECONDS, self._forward_delayed)
 
-    def _pass_held(self) -> None:
-        if self._held:
-            self.session.pass_on(*self._held.popleft())
+    def _forward_delayed(self) -> None:
+        if self._delayed:
+            self.session.forward_event(*self._delayed.popleft())
 
-    def note_event(self) -> None:
-        """Wait no longer for an event of the present engine."""
+    def stop_waiting_for_event(self) -> None:
+        """Stop waiting for the current engine's next event."""
         if not self._event.called:
             self._event.callback(None)
 
-    async def take(self) -> Leg | None:
-        """The leg to go on with, now that the present one has ended; None if there is none."""
-        self.note_event()
+    async def take(self) -> StreamAttempt | None:
+        """Return the new attempt after the current one ended; None if there is none."""
+        self.stop_waiting_for_event()
         if not self._opened.called:
             opened = defer.Deferred()
             self._opened.addCallback(opened.callback)
             await opened
-        if self.leg is None or self.leg.ended:
+        if self.attempt is None or self.attempt.ended:
             return None
         self._end(True)
-        return self.leg
+        return self.attempt
 
     def abandon(self) -> None:
-        """The stream is over."""
-        self.note_event()
-        if self.leg is not None and not self.leg.ended:
-            self.leg.abandon()
+        """Cancel the handover because the stream has ended."""
+        self.stop_waiting_for_event()
+        if self.attempt is not None and not self.attempt.ended:
+            self.attempt.abandon()
         self._end(False)
 
-    def _leg_ended(self, end: LegEnd) -> LegEnd:
-        """Refused or broken before it was used: the present engine still has the stream."""
+    def _attempt_ended(self, outcome: StreamOutcome) -> StreamOutcome:
+        """The new attempt ended before the switch: the stream stays on the current engine."""
         self._end(False)
-        return end
+        return outcome
 
-    def _end(self, taken: bool) -> None:
+    def _end(self, switched: bool) -> None:
         if self._overlap is not None and self._overlap.active():
             self._overlap.cancel()
-        if taken:
-            # The other engine generates these anew.
-            self._held.clear()
-        while self._held:
-            self._pass_held()
+        if switched:
+            # The new engine regenerates these events.
+            self._delayed.clear()
+        while self._delayed:
+            self._forward_delayed()
         if not self._ended.called:
-            self._ended.callback(taken)
+            self._ended.callback(switched)
--- a/src/guavacleat/forwarding/isolation.py
+++ b/src/guavacleat/forwarding/isolation.py
@@ -1,4 +1,4 @@
-"""Sending requests that may end the endpoint that runs them."""
+"""Placement of requests that are suspected of crashing endpoints."""
 
 from guavacleat.forwarding.refusals import RefusalError, RefusalReason
 from guavacleat.forwarding.request import ForwardedRequest
@@ -7,12 +7,12 @@
 
 __all__ = ["check_quarantine", "may_resume_at", "place_isolated"]
 
-# Until an endpoint may be quiet on which a request that is refused otherwise can be tried.
-RETRY_AFTER_NOT_QUIET = 1.0
+# Delay until a lightly loaded endpoint may be available for a trial.
+RETRY_AFTER_NOT_LIGHTLY_LOADED_SECONDS = 1.0
 
 
 def check_quarantine(context, request: ForwardedRequest) -> QuarantineStatus:
-    """The request's status; raise :class:`RefusalError` if it must not run now."""
+    """Return the request's quarantine status; raise :class:`RefusalError` if it must not run."""
     status = context.quarantine.status(request)
     if status.state is QuarantineState.REFUSED:
         raise _refusal(status, status.retry_after)
@@ -20,16 +20,16 @@
 
 
 def place_isolated(context, request: ForwardedRequest, tried: set[str]) -> EndpointEntry | None:
-    """Where a request runs that must not share an endpoint with many; None if none has room."""
+    """Return the least loaded endpoint for a suspect request; None if none is available."""
     status = check_quarantine(context, request)
     entry = context.placement.least_loaded(request, tried)
     if entry is not None and status.quarantined and not context.placement.is_lightly_loaded(entry):
-        raise _refusal(status, RETRY_AFTER_NOT_QUIET)
+        raise _refusal(status, RETRY_AFTER_NOT_LIGHTLY_LOADED_SECONDS)
     return entry
 
 
 def may_resume_at(context, request: ForwardedRequest, entry: EndpointEntry) -> bool:
-    """Whether a run that broke off may be resumed at ``entry``."""
+    """Whether an interrupted run may resume on ``entry``."""
     kind = context.quarantine.status(request).state
     if kind is QuarantineState.ISOLATED:
         return context.placement.is_lightly_loaded(entry)
--- a/src/guavacleat/forwarding/memory.py
+++ b/src/guavacleat/forwarding/memory.py
@@ -1,25 +1,23 @@
-"""Engine memory that one stream uses: its run's, and a copy's on another engine."""
+"""Tracks the engine memory of one stream: its run and a copy on another engine."""
 
 from guavacleat.forwarding.request import ForwardedRequest
 from guavacleat.membership.registry import EndpointEntry
 from guavacleat.placement import LoadTracker, Run
 
-__all__ = ["HeldCopy", "StreamMemory"]
+__all__ = ["RunCopy", "StreamMemory"]
 
-# Events that come within some second: a run with fewer left ends by itself before its engine is
-# gone.
+# A run with fewer remaining events completes within a leaving engine's notice period.
 SHORT_RUN_EVENTS = 20
-# Events of a run by when its backup holds its prompt: half a second or more, and a prompt of
-# 6,000 tokens is copied to another data centre in 0.7 s.
-BACKUP_EVENTS = 16
-# Events after which the expected length is looked at again.
-FORECAST_EVENTS = 8
+# Events after which a backup is assumed to contain the prompt.
+BACKUP_READY_EVENTS = 16
+# Events between updates of the expected length.
+FORECAST_INTERVAL_EVENTS = 8
 
 
-class HeldCopy:
-    """A copy of the run's memory on ``entry``, named by ``handle`` at its ``source``.
+class RunCopy:
+    """A copy of the run's memory on ``entry``, identified by ``handle`` at ``source``.
 
-    :param backup: whether the engine keeps it up to date by itself while the run goes on.
+    :param backup: whether the engine keeps updating the copy while the run continues.
     """
 
     __slots__ = ("entry", "source", "handle", "backup")
@@ -32,35 +30,37 @@
 
 
 class StreamMemory:
-    """Counts the stream's memory in the load book, where its run is and where a copy is held.
+    """Records the memory of the stream's run and of its copy in the load tracker.
 
-    :param events: events that the run has produced.
-    :param copy: where the stream goes on if its engine is gone; None if nowhere.
+    :param events: number of events that the run has produced.
+    :param copy: the copy from which the stream can resume; None if there is none.
     """
 
     def __init__(self, request: ForwardedRequest, load: LoadTracker):
         self.request = request
         self.load = load
         self.events = 0
-        self.copy: HeldCopy | None = None
+        self.copy: RunCopy | None = None
         self._run: Run | None = None
-        self._events_at_start = 0
+        self._events_at_run_start = 0
         self._copy_run: Run | None = None
 
     @property
     def backed_up(self) -> bool:
-        """Whether another engine keeps a copy of the run that grows with it."""
+        """Whether another engine keeps an up-to-date copy of the run."""
         return self.copy is not None and self.copy.backup
 
     def copy_usable(self) -> bool:
-        """Whether the run could go on from the copy now; a backup needs some time to begin."""
+        """Whether the run can resume from the copy; a backup needs time to copy the prompt."""
         if self.copy is None:
             return False
-        return not self.copy.backup or self.events - self._events_at_start >= BACKUP_EVENTS
+        return (
+            not self.copy.backup or self.events - self._events_at_run_start >= BACKUP_READY_EVENTS
+        )
 
     @property
     def tokens(self) -> int:
-        """Memory that the run holds now."""
+        """Tokens that the run currently holds in memory."""
         return self.request.prompt_tokens + self.output_tokens
 
     @property
@@ -70,42 +70,42 @@
         return self.events * (traits.tokens_per_event if traits else 1)
 
     def expected_tokens(self) -> int:
-        """Memory that the run will hold at its end, by what it has produced so far.
+        """Expected peak memory of the run in tokens, updated with the output so far.
 
-        Left at the first estimate, an engine would look free while runs outgrow it and its memory
-        runs out, and first tokens would come seconds late there.
+        Without the update, an engine whose runs exceed the first estimate would look free and get
+        more runs than its memory allows.
         """
         return self.request.expected_tokens(self.output_tokens)
 
-    def expected_left(self) -> int:
-        """Tokens still to come, if the estimate holds."""
+    def expected_remaining_tokens(self) -> int:
+        """Expected number of tokens still to be generated."""
         return self.expected_tokens() - self.tokens
 
     def worth_moving(self) -> bool:
-        """Whether the run will outlive the notice that a leaving engine gives."""
+        """Whether the run is expected to outlast a leaving engine's notice period."""
         traits = self.request.traits.engine
         if traits is None or not traits.moves:
             return False
         short = SHORT_RUN_EVENTS * traits.tokens_per_event
-        return self.expected_left() > short or self.events > SHORT_RUN_EVENTS
+        return self.expected_remaining_tokens() > short or self.events > SHORT_RUN_EVENTS
 
     def begin_run(self, entry: EndpointEntry, resumed: bool) -> Run:
-        """Count a run on ``entry``; a resumed one has no prompt to read."""
+        """Record a run on ``entry``; a resumed run has no prompt to prefill."""
         unread = 0 if resumed else self.request.prompt_tokens
         run = Run(self.request.metadata.id, self.expected_tokens(), unread)
         self.load.begin(entry.id, run)
         return run
 
     def use_run(self, run: Run) -> None:
-        """From now on the events are those of this run."""
+        """Attribute the following events to ``run``."""
         self._run = run
-        self._events_at_start = self.events
+        self._events_at_run_start = self.events
 
-    def note_event(self) -> None:
-        """The run produced an event."""
+    def record_event(self) -> None:
+        """Count an event of the current run."""
         self.events += 1
         run = self._run
-        if self.events % FORECAST_EVENTS == 0:
+        if self.events % FORECAST_INTERVAL_EVENTS == 0:
             run.peak_tokens = self.expected_tokens()
             if self.copy is not None:
                 self._copy_run.peak_tokens = run.peak_tokens
@@ -113,8 +113,8 @@
             run.unread_tokens = 0
             self.load.notify_changed(run)
 
-    def keep_copy(self, copy: HeldCopy | None) -> None:
-        """Count the copy where it is held, and the former one no more."""
+    def set_copy(self, copy: RunCopy | None) -> None:
+        """Replace the copy and update the load tracker."""
         self.drop_copy()
         self.copy = copy
         if copy is not None:
@@ -122,7 +122,7 @@
             self.load.begin(copy.entry.id, self._copy_run)
 
     def drop_copy(self) -> None:
-        """Forget the copy: it was used, or the engine that holds it is leaving."""
+        """Remove the copy, because it was used or its engine is leaving."""
         if self.copy is not None:
             self.load.end(self.copy.entry.id, self._copy_run)
             self.copy = None
--- a/src/guavacleat/forwarding/messages.py
+++ b/src/guavacleat/forwarding/messages.py
@@ -1,4 +1,4 @@
-"""What callers and endpoints tell the gateway, and what the gateway tells them; typed."""
+"""Metadata that the gateway exchanges with callers and endpoints."""
 
 __all__ = [
     "ResponseMetadata",
@@ -12,7 +12,7 @@
 
 
 class PromptPart:
-    """A part of a prompt that other prompts may share."""
+    """A part of a prompt that other prompts may share, for prefix caching."""
 
     __slots__ = ("id", "tokens")
 
@@ -22,12 +22,12 @@
 
 
 class RequestMetadata:
-    """What a caller says of its request.
+    """Request metadata from the caller.
 
-    :param id: the request's id; each of a caller's own retries has another.
-    :param key: the key that names the client account; empty if none was shown.
-    :param patience: seconds that the caller will wait; None if it does not say.
-    :param expected_output_tokens: the caller's guess; None if it makes none.
+    :param id: request id; each retry by the caller has a new one.
+    :param key: API key of the client account; empty if absent.
+    :param caller_timeout: seconds that the caller will wait; None if not specified.
+    :param expected_output_tokens: the caller's estimate; None if not specified.
     """
 
     __slots__ = (
@@ -60,7 +60,7 @@
 
 
 class ResumePoint:
-    """Where a generation goes on: a copy of its memory, and the last event its caller has."""
+    """Where a generation resumes: a copy of its memory and the last event the caller received."""
 
     __slots__ = ("source", "handle", "last_event")
 
@@ -71,13 +71,13 @@
 
 
 class ForwardingMetadata:
-    """What the gateway itself tells an endpoint with a request.
+    """Metadata that the gateway adds to a request to an endpoint.
 
     :param incarnation: the endpoint's id; any other endpoint at its address must refuse.
-    :param time_left: seconds until the answer is of no more use.
-    :param priority: rank among the engine's requests, 0 first; None to leave it out.
-    :param resume: go on from there instead of beginning anew.
-    :param copy_to: address of an engine that shall keep a growing copy of the run.
+    :param time_left: seconds until the request's deadline.
+    :param priority: priority among the engine's requests, 0 is the highest; None to omit it.
+    :param resume: where to resume; None for a new generation.
+    :param backup_target: address of an engine that keeps an up-to-date copy of the run.
     """
 
     __slots__ = ("incarnation", "time_left", "account", "priority", "resume", "backup_target")
@@ -100,12 +100,12 @@
 
 
 class ResponseMetadata:
-    """What an endpoint says of its answer.
+    """Response metadata from an endpoint.
 
-    :param request_id: the request it answers; None if it does not say.
-    :param sealed: true if the endpoint signed it.
-    :param not_run: true if the endpoint states that it did not run the request.
-    :param encoded: true if the body was encoded on the way, so that it is not the endpoint's.
+    :param request_id: id of the request it responds to; None if absent.
+    :param signed: whether the endpoint signed the response.
+    :param not_run: whether the endpoint states that it did not execute the request.
+    :param encoded: whether an intermediary encoded the body.
     """
 
     __slots__ = ("request_id", "signed", "not_run", "encoded")
@@ -118,10 +118,10 @@
 
 
 class EndpointStatus:
-    """What an endpoint says of itself when asked.
+    """Status reported by an endpoint.
 
-    :param leaving: whether it is about to go.
-    :param leaves_in: seconds until then; None if it does not say.
+    :param leaving: whether it will shut down soon.
+    :param leaves_in: seconds until it shuts down; None if unknown.
     """
 
     __slots__ = ("leaving", "leaves_in")
@@ -132,9 +132,9 @@
 
 
 class MoveResponse:
-    """An engine's answer to a call that copies a run.
+    """An engine's response to a call that copies a run.
 
-    :param handle: names the copy; None if there is none.
+    :param handle: identifies the copy; None if there is none.
     """
 
     __slots__ = ("status", "handle")
--- a/src/guavacleat/forwarding/native.py
+++ b/src/guavacleat/forwarding/native.py
@@ -1,9 +1,9 @@
-"""The product's own header names, for an ingress without a platform.
+"""Default header names, for an ingress without a platform.
 
-Callers send ``X-Request-Id``, ``X-Api-Key`` and ``X-Deadline`` (seconds they will wait), and for
-generations ``X-Prompt-Tokens`` and ``X-Max-Tokens``. Endpoints answer with ``X-Request-Id`` and
-``X-Endpoint`` (their id, which marks the answer as their own), or with ``X-Not-Run`` if they state
-that they did not run the request.
+Callers send ``X-Request-Id``, ``X-Api-Key`` and ``X-Deadline`` (timeout in seconds), and for
+generations ``X-Prompt-Tokens`` and ``X-Max-Tokens``. Endpoints respond with ``X-Request-Id`` and
+``X-Endpoint`` (their id, which marks the response as signed), or with ``X-Not-Run`` if they did
+not execute the request.
 """
 
 from guavacleat.forwarding.messages import (
@@ -31,7 +31,7 @@
 
 
 class NativeWire(Wire):
-    """See :class:`~guavacleat.forwarding.wire.Wire`; moves between engines are not spoken."""
+    """See :class:`~guavacleat.forwarding.wire.Wire`; migration is not supported."""
 
     def parse_request_metadata(self, headers: Headers) -> RequestMetadata:
         values = dict(headers)
@@ -71,11 +71,11 @@
         return headers
 
     def encode_move(self, request_id, target):
-        raise NotImplementedError("engines without a platform do not move runs")
+        raise NotImplementedError("migration is not supported without a platform")
 
     def decode_move(self, status: int, body: bytes) -> MoveResponse:
         del status, body
         return MoveResponse(NO_MOVES, None)
 
     def free_copy_target(self, handle: str) -> bytes:
-        raise NotImplementedError("engines without a platform keep no copies")
+        raise NotImplementedError("copies are not supported without a platform")
--- a/src/guavacleat/forwarding/numbers.py
+++ b/src/guavacleat/forwarding/numbers.py
@@ -1,15 +1,15 @@
-"""Numbers in headers. Callers may send anything, and nothing of it may spoil what others get."""
+"""Parses numbers in headers, which callers may set to any value."""
 
 import math
 
 __all__ = ["MAX_TOKENS", "parse_number", "parse_token_count"]
 
-# No engine holds a millionth of this; sums of it still fit a report between gateways.
+# Upper bound for token counts, so that their sums fit the integers in peer reports.
 MAX_TOKENS = 10**9
 
 
 def parse_number(value: bytes | None) -> float | None:
-    """A header's number; None if it is absent or not a finite one."""
+    """Parse a header's number; None if it is absent, invalid or not finite."""
     try:
         number = None if value is None else float(value)
     except ValueError:
@@ -18,5 +18,5 @@
 
 
 def parse_token_count(value: bytes | None) -> int:
-    """A count of tokens from 0 to ``MAX_TOKENS``; 0 if the header says none."""
+    """Parse a token count, clamped to 0..``MAX_TOKENS``; 0 if it is absent or invalid."""
     return int(min(max(0.0, parse_number(value) or 0.0), MAX_TOKENS))
--- a/src/guavacleat/forwarding/refusals.py
+++ b/src/guavacleat/forwarding/refusals.py
@@ -1,4 +1,4 @@
-"""Answers of the gateway's own, each with what it says of the request."""
+"""Error responses that the gateway generates itself."""
 
 import enum
 
@@ -6,22 +6,22 @@
 
 
 class RefusalReason(enum.Enum):
-    """Why the gateway answers itself; the value is the status.
+    """Why the gateway refuses or fails a request; the value holds the HTTP status.
 
-    429 and 503 promise that the request has not run and never will; 502 and 504 promise nothing.
+    429 and 503 guarantee that the request was not executed; 502 and 504 guarantee nothing.
     """
 
     UNKNOWN_ROUTE = 404
     UNKNOWN_KEY = 401
-    NO_CONFIGURATION = (503, "no configuration yet")
-    BEHIND = (503, "not allowed here, but a newer configuration is in force elsewhere")
-    NO_ENDPOINT = (503, "no endpoint takes work")
-    NO_ROOM = (503, "no room before the deadline")
-    NO_MEMORY = (503, "too many bytes of requests held")
-    STOPPING = (503, "this gateway stops before it could finish")
-    QUARANTINED = (503, "requests alike have ended the endpoints that ran them")
-    EXPIRED = (504, "time is up")
-    BROKEN = (502, "the endpoint gave no whole answer")
+    NO_CONFIGURATION = (503, "no configuration received yet")
+    BEHIND = (503, "not in this configuration, but a peer has a newer one")
+    NO_ENDPOINT = (503, "no endpoint is ready")
+    NO_ROOM = (503, "no capacity before the deadline")
+    NO_MEMORY = (503, "request body memory limit reached")
+    STOPPING = (503, "gateway shuts down before the request could finish")
+    QUARANTINED = (503, "identical requests crashed endpoints")
+    EXPIRED = (504, "deadline expired")
+    BROKEN = (502, "incomplete or invalid response from the endpoint")
 
     @property
     def status(self) -> int:
@@ -29,9 +29,9 @@
 
 
 class RefusalError(Exception):
-    """Ends a request with an answer of the gateway's own.
+    """Ends a request with an error response from the gateway.
 
-    :param retry_after: seconds after which a request that has not run may come back.
+    :param retry_after: seconds after which the caller may retry a request that was not executed.
     """
 
     def __init__(self, reason: RefusalReason, retry_after: float | None = None, detail: str = ""):
--- a/src/guavacleat/forwarding/request.py
+++ b/src/guavacleat/forwarding/request.py
@@ -1,4 +1,4 @@
-"""A caller's request after it was matched: who asks, for what, until when."""
+"""A caller's request with its route, account, service and deadline."""
 
 from guavacleat.forwarding.messages import RequestMetadata
 from guavacleat.http1.server import CallerExchange
@@ -8,16 +8,16 @@
 
 __all__ = ["ForwardedRequest"]
 
-# Longest output, in tokens, of a request that names none.
-UNKNOWN_LENGTH = 512
+# Assumed for requests that specify no maximum.
+DEFAULT_MAX_OUTPUT_TOKENS = 512
 
 
 class ForwardedRequest:
-    """One request on its way.
+    """A request being forwarded.
 
-    :param arrived: clock time of its arrival.
-    :param deadline: clock time at which its answer is of no more use.
-    :param forecast: the lengths of this route's generations; None if nothing is known of them.
+    :param arrived: clock time of arrival.
+    :param deadline: clock time at which the caller's or the route's timeout expires.
+    :param forecast: forecast of the route's output lengths; None if there is none yet.
     """
 
     __slots__ = (
@@ -59,12 +59,14 @@
         time_limit = route.timeout if metadata.caller_timeout is None else metadata.caller_timeout
         self.deadline = arrived + min(time_limit, route.timeout)
         self.headers = headers
-        self.forecast = forecast or LengthForecast(metadata.max_output_tokens or UNKNOWN_LENGTH)
+        self.forecast = forecast or LengthForecast(
+            metadata.max_output_tokens or DEFAULT_MAX_OUTPUT_TOKENS
+        )
         self._content_key: int | None = None
 
     @property
     def content_key(self) -> int:
-        """The same whenever this caller asks for the same again, whatever the request's id."""
+        """Fingerprint of the account and the content, equal for all retries of a request."""
         if self._content_key is None:
             head = self.exchange.head
             self._content_key = fingerprint(
@@ -82,7 +84,7 @@
 
     @property
     def priority(self) -> int:
-        """Rank, 0 first; an account's own goes before its route's."""
+        """Priority, 0 is the highest; the account's overrides the route's."""
         if self.account is not None and self.account.priority is not None:
             return self.account.priority
         return self.route.priority
@@ -92,7 +94,7 @@
         return self.metadata.prompt_tokens
 
     def expected_tokens(self, emitted: int = 0) -> int:
-        """Memory that the run will hold at its end, once it has produced ``emitted`` tokens."""
+        """Expected peak memory in tokens, given that ``emitted`` tokens were generated."""
         output = self.forecast.expected_length(emitted, self.metadata.expected_output_tokens)
-        most = max(emitted, self.metadata.max_output_tokens or output)
-        return self.prompt_tokens + min(output, most)
+        max_output = max(emitted, self.metadata.max_output_tokens or output)
+        return self.prompt_tokens + min(output, max_output)
--- a/src/guavacleat/forwarding/session.py
+++ b/src/guavacleat/forwarding/session.py
@@ -1,54 +1,56 @@
-"""One caller's stream, from its first endpoint to its last.
+"""Forwards one streaming request, possibly across several endpoints.
 
-Events reach the caller by id, each once and in order, from one generation: a run that is moved to
-another engine, or goes on from a copy there, is the same generation. A stream that cannot go on
-is cut, so that it never looks complete.
+The caller receives each event exactly once and in the order of the event ids. A run that migrates
+to another engine, or resumes there from a copy of its memory, continues the same generation. If
+the run cannot continue, the caller's connection is closed without a final chunk, so that the
+response never looks complete.
 """
 
 from eliot import log_message
 from twisted.internet import defer
 
-from guavacleat.forwarding.answer import pass_head_on
+from guavacleat.forwarding.attempt_opener import AttemptOpener
 from guavacleat.forwarding.copies import free_copy
 from guavacleat.forwarding.handover import Handover
 from guavacleat.forwarding.isolation import check_quarantine, may_resume_at, place_isolated
-from guavacleat.forwarding.leg import Leg, LegEnd
 from guavacleat.forwarding.memory import StreamMemory
 from guavacleat.forwarding.messages import ResumePoint
-from guavacleat.forwarding.opening import LegOpener
 from guavacleat.forwarding.refusals import RefusalError, RefusalReason
 from guavacleat.forwarding.request import ForwardedRequest
+from guavacleat.forwarding.response import begin_response
+from guavacleat.forwarding.stream_attempt import StreamAttempt, StreamOutcome
 from guavacleat.forwarding.timings import StreamTimings
 from guavacleat.membership.registry import EndpointEntry
 
 __all__ = ["StreamSession"]
 
-# Sends of a stream that no endpoint began to run, at most.
+# Maximum number of sends while no endpoint has started to run the request.
 MAX_SENDS = 4
-RETRY_AFTER_NO_ENDPOINT = 1.0
-RETRY_AFTER_NO_ROOM = 1.0
-NEVER_RUN = (LegEnd.NOT_RUN, LegEnd.WRONG_INCARNATION)
+RETRY_AFTER_NO_ENDPOINT_SECONDS = 1.0
+RETRY_AFTER_NO_ROOM_SECONDS = 1.0
+NOT_RUN_OUTCOMES = (StreamOutcome.NOT_RUN, StreamOutcome.WRONG_INCARNATION)
 
 
 class StreamSession:
-    """Runs one stream; ``context`` as for plain requests.
+    """Forwards one streaming request.
 
-    :param sessions: set that holds the session while it runs.
+    :param context: the :class:`~.context.ForwardingContext`.
+    :param sessions: set that contains this session while it is active.
     """
 
     def __init__(self, request: ForwardedRequest, context, sessions: set):
         self.request = request
         self.context = context
         self.sessions = sessions
-        self.leg: Leg | None = None
+        self.attempt: StreamAttempt | None = None
         self.last_event: int | None = None
         self.moves = 0
         self.timings = StreamTimings(request.arrived)
         self.memory = StreamMemory(request, context.load)
         self.handover: Handover | None = None
-        self.opener = LegOpener(self, request, context, self.memory, self._log)
-        # While the request waits for an engine that has room.
-        self.placing: defer.Deferred | None = None
+        self.opener = AttemptOpener(self, request, context, self.memory, self._log)
+        # Set while the request waits in the admission queue.
+        self.pending_placement: defer.Deferred | None = None
         self.cancelled = False
         self.cut = False
         self.completed = False
@@ -58,7 +60,7 @@
         return self.request.exchange.ended or self.cancelled
 
     async def run(self) -> None:
-        """Answer the caller, or raise :class:`RefusalError` if nothing was sent to it yet."""
+        """Forward the stream; raise :class:`RefusalError` if no response was started."""
         try:
             await self._run_until_deadline()
         finally:
@@ -68,7 +70,7 @@
         exchange = self.request.exchange
         exchange.on_gone = self.cancel
         exchange.source = self
-        timer = self.context.clock.callLater(self.time_left(), self._time_up)
+        timer = self.context.clock.callLater(self.time_left(), self._deadline_expired)
         self.sessions.add(self)
         try:
             await self._run()
@@ -83,47 +85,47 @@
                 timer.cancel()
 
     def _free_copy(self) -> None:
-        """The stream is over: a copy that is left serves nobody.
+        """Free a copy that was not used.
 
-        An engine frees a backup by itself when the run ended well.
+        An engine frees a backup by itself when the run completes.
         """
         copy = self.memory.copy
-        ended_well = self.request.exchange.ended and not self.cut and not self.cancelled
+        completed_normally = self.request.exchange.ended and not self.cut and not self.cancelled
         self.memory.drop_copy()
-        if copy is not None and not (copy.backup and ended_well):
+        if copy is not None and not (copy.backup and completed_normally):
             freeing = free_copy(self.context, copy.source.address, copy.handle)
-            defer.Deferred.fromCoroutine(freeing).addErrback(self._note_error)
+            defer.Deferred.fromCoroutine(freeing).addErrback(self._log_error)
 
-    def _note_error(self, failure) -> None:
+    def _log_error(self, failure) -> None:
         self._log("stream:error", error=failure.getTraceback())
 
     async def _run(self) -> None:
-        end = await self._first_legs()
+        outcome = await self._start()
         while not self.finished:
-            if end is LegEnd.COMPLETE:
+            if outcome is StreamOutcome.COMPLETE:
                 if self.handover is not None:
                     self.handover.abandon()
                 self.completed = True
                 self.request.exchange.end()
                 return
-            if end is LegEnd.FAILED_WHOLE and self.last_event is None:
-                self._pass_failure_on()
+            if outcome is StreamOutcome.ENDPOINT_ERROR and self.last_event is None:
+                self._forward_failure()
                 return
-            if end in NEVER_RUN:
-                # The copy was not there; nor is the backup that was asked for with it.
+            if outcome in NOT_RUN_OUTCOMES:
+                # The endpoint has no copy to resume from and did not create the new backup.
                 self.memory.drop_copy()
-            if not await self._go_on():
-                self._break_off(end)
+            if not await self._resume_elsewhere():
+                self._fail(outcome)
                 return
-            end = await self._leg_end()
+            outcome = await self._attempt_outcome()
 
-    async def _first_legs(self) -> LegEnd:
-        """Send to endpoints until one runs it; return how that leg ended."""
+    async def _start(self) -> StreamOutcome:
+        """Send to endpoints until one runs the request; return that attempt's outcome."""
         request, tried = self.request, set()
         for sends in range(MAX_SENDS):
             if sends and not self.context.budget.may_retry(request.service):
                 break
-            entry = await self._place(tried)
+            entry = await self._choose_endpoint(tried)
             if entry is None:
                 break
             tried.add(entry.id)
@@ -131,18 +133,18 @@
                 self.context.budget.record_retry(request.service)
             if not await self._send(entry, None):
                 continue
-            end = await self._leg_end()
-            if end not in NEVER_RUN:
-                return end
-            self._note_refused(entry, end)
+            outcome = await self._attempt_outcome()
+            if outcome not in NOT_RUN_OUTCOMES:
+                return outcome
+            self._record_refusal(entry, outcome)
             if self.cancelled or self.time_left() <= 0:
                 break
         if not tried:
-            raise RefusalError(RefusalReason.NO_ENDPOINT, RETRY_AFTER_NO_ENDPOINT)
-        raise RefusalError(RefusalReason.NO_ROOM, RETRY_AFTER_NO_ROOM)
+            raise RefusalError(RefusalReason.NO_ENDPOINT, RETRY_AFTER_NO_ENDPOINT_SECONDS)
+        raise RefusalError(RefusalReason.NO_ROOM, RETRY_AFTER_NO_ROOM_SECONDS)
 
-    async def _place(self, tried: set[str]) -> EndpointEntry | None:
-        """The endpoint to send to; None if there is none, or the caller left meanwhile."""
+    async def _choose_endpoint(self, tried: set[str]) -> EndpointEntry | None:
+        """Return the endpoint to send to; None if none is available or the caller left."""
         request = self.request
         if not self.context.quarantine.is_unrestricted(request):
             entry = place_isolated(self.context, request, tried)
@@ -150,88 +152,90 @@
                 return entry
         if request.traits.engine is None:
             return self.context.placement.choose_for_call(request.service, tried)
-        self.placing = self.context.queue.acquire(request, tried)
+        self.pending_placement = self.context.queue.acquire(request, tried)
         try:
-            entry = await self.placing
+            entry = await self.pending_placement
         finally:
-            self.placing = None
-        # What became known while it waited counts too.
+            self.pending_placement = None
+        # The request may have been quarantined while it waited.
         check_quarantine(self.context, request)
         return entry
 
     async def _send(self, entry: EndpointEntry, resume: ResumePoint | None) -> bool:
-        """Send the request to ``entry``; return False if no connection came about."""
-        leg = await self.opener.open(entry, resume)
-        if leg is None:
+        """Send the request to ``entry``; return False if it was not sent."""
+        attempt = await self.opener.open(entry, resume)
+        if attempt is None:
             return False
-        self._use(leg)
+        self._use_attempt(attempt)
         return True
 
-    def _use(self, leg: Leg) -> None:
-        self.leg = leg
-        self.memory.use_run(leg.run)
-        self.memory.keep_copy(leg.backup)
+    def _use_attempt(self, attempt: StreamAttempt) -> None:
+        self.attempt = attempt
+        self.memory.use_run(attempt.run)
+        self.memory.set_copy(attempt.backup)
 
     async def hand_over(self) -> bool:
-        """Go on where the copy is, though the present engine still runs; return whether it does."""
+        """Resume from the copy while the current engine still runs; return whether it succeeded."""
         if self.handover is not None or self.memory.copy is None or self.last_event is None:
             return False
         if not self.context.quarantine.is_unrestricted(self.request):
             return False
         self.handover = Handover(self)
         try:
-            taken = await self.handover.run()
+            switched = await self.handover.run()
         finally:
             self.handover = None
-        self._log("stream:handed-over" if taken else "stream:stays", endpoint=self.leg.entry.id)
-        return taken
+        self._log(
+            "stream:handed-over" if switched else "stream:stays", endpoint=self.attempt.entry.id
+        )
+        return switched
 
-    def leave_engine(self) -> None:
-        """Stop the present engine's work: the stream goes on at another one."""
-        if not self.leg.ended:
-            self.leg.abandon()
+    def stop_current_attempt(self) -> None:
+        """Close the current attempt, so that the stream continues on another engine."""
+        if not self.attempt.ended:
+            self.attempt.abandon()
 
-    async def _leg_end(self) -> LegEnd:
-        return await self.leg.done
+    async def _attempt_outcome(self) -> StreamOutcome:
+        return await self.attempt.done
 
-    def leg_began(self, leg: Leg) -> None:
-        """Hear that an endpoint has begun a genuine stream."""
+    def attempt_started(self, attempt: StreamAttempt) -> None:
+        """Called when an endpoint has started a valid stream."""
         if not self.request.exchange.began:
-            pass_head_on(self.request.exchange, leg.head)
+            begin_response(self.request.exchange, attempt.head)
 
-    def leg_event(self, leg: Leg, event) -> None:
-        """Hear a whole event of an endpoint."""
-        if self.handover is not None and leg is not self.handover.leg:
-            self.handover.present_event(leg, event)
+    def attempt_event(self, attempt: StreamAttempt, event) -> None:
+        """Called with each complete event from an endpoint."""
+        if self.handover is not None and attempt is not self.handover.attempt:
+            self.handover.delay_event(attempt, event)
             return
-        if self.handover is not None and leg is not self.leg:
-            self.leave_engine()
-        self.pass_on(leg, event)
+        if self.handover is not None and attempt is not self.attempt:
+            self.stop_current_attempt()
+        self.forward_event(attempt, event)
 
-    def pass_on(self, leg: Leg, event) -> None:
-        """Give the caller the event, if it is the next of the leg in use."""
-        if leg is not self.leg or self.finished:
+    def forward_event(self, attempt: StreamAttempt, event) -> None:
+        """Send the event to the caller if it is the next one of the current attempt."""
+        if attempt is not self.attempt or self.finished:
             return
         if event.id is not None:
             if self.last_event is not None and event.id <= self.last_event:
                 return
             if self.last_event is not None and event.id > self.last_event + 1:
-                # An event is missing: what follows must not reach the caller.
-                self._log("stream:gap", endpoint=leg.entry.id, event=event.id)
-                leg.abandon()
+                # Events are missing: forwarding later ones would leave a gap.
+                self._log("stream:gap", endpoint=attempt.entry.id, event=event.id)
+                attempt.abandon()
                 return
             self.last_event = event.id
-            self.memory.note_event()
-        self.timings.event(self.context.clock.seconds(), event.id)
+            self.memory.record_event()
+        self.timings.event_sent(self.context.clock.seconds(), event.id)
         self.request.exchange.write(event.data)
 
-    async def _go_on(self) -> bool:
-        """After a leg broke: send to where the run can go on; False if there is nowhere."""
+    async def _resume_elsewhere(self) -> bool:
+        """Continue a failed attempt on another engine; return False if none can."""
         if self.handover is not None:
-            leg = await self.handover.take()
-            if leg is not None and not self.finished:
+            attempt = await self.handover.take()
+            if attempt is not None and not self.finished:
                 self.moves += 1
-                self._use(leg)
+                self._use_attempt(attempt)
                 return True
         copy = self.memory.copy
         self.memory.drop_copy()
@@ -246,20 +250,20 @@
         self._log("stream:resumed", endpoint=copy.entry.id, source=copy.source.id)
         return await self._send(copy.entry, point)
 
-    def _note_refused(self, entry: EndpointEntry, end: LegEnd) -> None:
-        self._log("stream:refused", endpoint=entry.id, end=end.value)
-        if end is LegEnd.WRONG_INCARNATION:
+    def _record_refusal(self, entry: EndpointEntry, outcome: StreamOutcome) -> None:
+        self._log("stream:refused", endpoint=entry.id, end=outcome.value)
+        if outcome is StreamOutcome.WRONG_INCARNATION:
             self.context.registry.remove_stale(entry.id)
 
-    def _pass_failure_on(self) -> None:
+    def _forward_failure(self) -> None:
         exchange = self.request.exchange
-        pass_head_on(exchange, self.leg.head)
-        exchange.write(b"".join(self.leg.failure_body))
+        begin_response(exchange, self.attempt.head)
+        exchange.write(b"".join(self.attempt.failure_body))
         exchange.end()
 
-    def _break_off(self, end: LegEnd) -> None:
-        """The stream cannot go on: an honest failure if nothing was sent, else a cut."""
-        self._log("stream:broken", endpoint=self.leg.entry.id, end=end.value)
+    def _fail(self, outcome: StreamOutcome) -> None:
+        """Fail the stream: an error response if none was started, else close the connection."""
+        self._log("stream:broken", endpoint=self.attempt.entry.id, end=outcome.value)
         if self.finished:
             return
         if not self.request.exchange.began:
@@ -270,7 +274,7 @@
         self.cut = True
         self.request.exchange.cut()
 
-    def _time_up(self) -> None:
+    def _deadline_expired(self) -> None:
         if self.finished:
             return
         self._log("stream:expired")
@@ -282,31 +286,31 @@
         self.cancel()
 
     def cancel(self) -> None:
-        """The caller is gone or its time is up: stop the endpoint's work."""
+        """Stop the endpoint's work after the caller left or the deadline expired."""
         self.cancelled = True
-        if self.placing is not None:
-            self.placing.cancel()
-        if self.leg is not None and not self.leg.ended:
-            self.leg.abandon()
+        if self.pending_placement is not None:
+            self.pending_placement.cancel()
+        if self.attempt is not None and not self.attempt.ended:
+            self.attempt.abandon()
 
     def pause(self) -> None:
-        self._flow("pauseProducing")
+        self._call_transport("pauseProducing")
 
     def resume(self) -> None:
-        self._flow("resumeProducing")
+        self._call_transport("resumeProducing")
 
-    def _flow(self, name: str) -> None:
-        if self.leg is not None and not self.leg.ended and self.leg.connection.open:
-            getattr(self.leg.connection.transport, name)()
+    def _call_transport(self, name: str) -> None:
+        if self.attempt is not None and not self.attempt.ended and self.attempt.connection.open:
+            getattr(self.attempt.connection.transport, name)()
 
     def _log_end(self) -> None:
-        first, goal = self.timings.first, self.request.route.gap_goal
+        first, goal = self.timings.first_event_delay, self.request.route.gap_goal
         late = first is None or first > self.request.route.latency_goal
         paused = goal is not None and self.timings.longest_gap > goal
         served = "stream:late" if late or paused else "stream:on-time"
         self._log(
             served if self.completed else "stream:unfinished",
-            endpoint=self.leg.entry.id if self.leg else None,
+            endpoint=self.attempt.entry.id if self.attempt else None,
             first=None if first is None else round(first, 3),
             gap=round(self.timings.longest_gap, 3),
             paused=paused,
@@ -317,7 +321,7 @@
         )
 
     def time_left(self) -> float:
-        """Seconds until the answer is of no more use."""
+        """Seconds until the deadline."""
         return self.request.deadline - self.context.clock.seconds()
 
     def _log(self, message_type: str, **fields) -> None:
--- /dev/null
+++ b/src/guavacleat/forwarding/stream_attempt.py
@@ -0,0 +1,122 @@
+"""One attempt to stream from one endpoint: validates the response and emits complete events."""
+
+import enum
+
+from twisted.internet import defer
+
+from guavacleat.forwarding.events import EventSplitter
+from guavacleat.forwarding.memory import RunCopy
+from guavacleat.forwarding.response import ResponseCheck, check_response
+from guavacleat.http1.client import AnswerListener, BreakReason
+from guavacleat.http1.messages import ResponseHead
+from guavacleat.membership.registry import EndpointEntry
+from guavacleat.placement import Run
+
+__all__ = ["StreamAttempt", "StreamOutcome"]
+
+SUCCESS = range(200, 300)
+
+
+class StreamOutcome(enum.Enum):
+    """Outcome of a streaming attempt on one endpoint; the value is logged."""
+
+    COMPLETE = "complete"
+    ENDPOINT_ERROR = "the endpoint's own failure"
+    NOT_RUN = "not run"
+    WRONG_INCARNATION = "another incarnation"
+    BROKEN = "broken"
+    ABANDONED = "abandoned by this gateway"
+
+
+REFUSAL_OUTCOMES = {
+    ResponseCheck.NOT_RUN: StreamOutcome.NOT_RUN,
+    ResponseCheck.WRONG_INCARNATION: StreamOutcome.WRONG_INCARNATION,
+}
+
+
+class StreamAttempt(AnswerListener):
+    """Receives the response on ``connection``; ``done`` fires with a :class:`StreamOutcome`.
+
+    :param observer: ``attempt_started(attempt)`` is called when a valid stream starts, and
+        ``attempt_event(attempt, event)`` with each complete :class:`StreamEvent`.
+    """
+
+    def __init__(self, entry: EndpointEntry, request_id: str, wire, observer):
+        self.entry = entry
+        self.request_id = request_id
+        self.wire = wire
+        self.observer = observer
+        self.done = defer.Deferred()
+        self.connection = None
+        # The run's entry in the load tracker, and the backup requested with it.
+        self.run: Run | None = None
+        self.backup: RunCopy | None = None
+        # Clock time when the request was sent.
+        self.began = float("-inf")
+        self.head: ResponseHead | None = None
+        self.check: ResponseCheck | None = None
+        self.splitter = EventSplitter()
+        self.failure_body: list[bytes] = []
+        self.ended = False
+        # Whether the endpoint closed the connection before the response was complete.
+        self.disconnected = False
+
+    @property
+    def streaming(self) -> bool:
+        """Whether the endpoint has started a valid stream."""
+        return self.check is ResponseCheck.VALID and self.head.status in SUCCESS
+
+    def abandon(self) -> None:
+        """Close the connection, so that the endpoint stops the run."""
+        self._end(StreamOutcome.ABANDONED)
+        self.connection.abandon()
+
+    def _reject(self) -> None:
+        """Close the connection after data that does not belong to this stream."""
+        self._end(StreamOutcome.BROKEN)
+        self.connection.abandon()
+
+    def answer_began(self, head):
+        self.head = head
+        self.check = check_response(
+            head, self.wire.parse_response_metadata(head.headers), self.request_id
+        )
+        if self.check is ResponseCheck.FOREIGN:
+            self._reject()
+        elif self.streaming and not self.ended:
+            self.observer.attempt_started(self)
+
+    def answer_body(self, data):
+        if self.ended:
+            return
+        if not self.streaming:
+            self.failure_body.append(data)
+            return
+        try:
+            events = self.splitter.feed(data)
+        except ValueError:
+            self._reject()
+            return
+        for event in events:
+            if not self.ended:
+                self.observer.attempt_event(self, event)
+
+    def answer_ended(self):
+        if self.check in REFUSAL_OUTCOMES:
+            self._end(REFUSAL_OUTCOMES[self.check])
+        elif not self.streaming:
+            self._end(StreamOutcome.ENDPOINT_ERROR)
+        else:
+            # Remaining bytes are a truncated event, so the stream is incomplete.
+            self._end(
+                StreamOutcome.BROKEN if self.splitter.remainder.strip() else StreamOutcome.COMPLETE
+            )
+
+    def answer_broken(self, reason: BreakReason):
+        self.disconnected = reason.by_endpoint and not self.ended
+        self._end(REFUSAL_OUTCOMES.get(self.check, StreamOutcome.BROKEN))
+
+    def _end(self, outcome: StreamOutcome) -> None:
+        if not self.ended:
+            self.ended = True
+            self.done.callback(outcome)
--- a/src/guavacleat/forwarding/timings.py
+++ b/src/guavacleat/forwarding/timings.py
@@ -1,56 +1,55 @@
-"""When the caller of a stream got its events."""
+"""Event timings of streams, and the generation speed estimated from them."""
 
 __all__ = ["GenerationSpeed", "StreamTimings"]
 
-
-# Weight of the newest stream in the moving average.
-SMOOTHING = 0.1
-# Before any stream ended.
-FIRST_GUESS_SECONDS_PER_TOKEN = 0.01
+# Weight of the latest stream in the exponential moving average.
+SMOOTHING_FACTOR = 0.1
+# Used until the first stream completes.
+INITIAL_SECONDS_PER_TOKEN = 0.01
 
 
 class GenerationSpeed:
-    """How fast engines generate, learnt from the streams that ended here."""
+    """Moving average of the generation speed of this gateway's streams."""
 
     __slots__ = ("seconds_per_token",)
 
     def __init__(self):
-        self.seconds_per_token = FIRST_GUESS_SECONDS_PER_TOKEN
+        self.seconds_per_token = INITIAL_SECONDS_PER_TOKEN
 
-    def observe(self, times: "StreamTimings", tokens: int) -> None:
-        """A stream of ``tokens`` output tokens ended."""
-        if times.first is None or tokens <= 0:
+    def observe(self, timings: "StreamTimings", tokens: int) -> None:
+        """Include a finished stream of ``tokens`` output tokens."""
+        if timings.first_event_delay is None or tokens <= 0:
             return
-        seconds = times.last_at - times.arrived - times.first
-        self.seconds_per_token += SMOOTHING * (seconds / tokens - self.seconds_per_token)
+        seconds = timings.last_event_at - timings.arrived - timings.first_event_delay
+        self.seconds_per_token += SMOOTHING_FACTOR * (seconds / tokens - self.seconds_per_token)
 
     def estimate_seconds(self, tokens: int) -> float:
-        """How long ``tokens`` will take."""
+        """Expected time to generate ``tokens``."""
         return tokens * self.seconds_per_token
 
 
 class StreamTimings:
-    """When a caller got its events; seconds.
+    """Timings of the events sent to one caller, in seconds.
 
-    :param first: from the request's arrival to its first event; None before it.
+    :param first_event_delay: from the request's arrival to the first event; None before it.
     :param longest_gap: the longest pause between two events.
-    :param gap_event: the event that ended that pause.
+    :param gap_event: id of the event after that pause.
     """
 
-    __slots__ = ("arrived", "first", "last_at", "longest_gap", "gap_event")
+    __slots__ = ("arrived", "first_event_delay", "last_event_at", "longest_gap", "gap_event")
 
     def __init__(self, arrived: float):
         self.arrived = arrived
-        self.first: float | None = None
-        self.last_at = arrived
+        self.first_event_delay: float | None = None
+        self.last_event_at = arrived
         self.longest_gap = 0.0
         self.gap_event: int | None = None
 
-    def event(self, now: float, id: int | None) -> None:
-        """An event went to the caller."""
-        if self.first is None:
-            self.first = now - self.arrived
-        elif now - self.last_at > self.longest_gap:
-            self.longest_gap = now - self.last_at
+    def event_sent(self, now: float, id: int | None) -> None:
+        """Record that an event was sent to the caller."""
+        if self.first_event_delay is None:
+            self.first_event_delay = now - self.arrived
+        elif now - self.last_event_at > self.longest_gap:
+            self.longest_gap = now - self.last_event_at
             self.gap_event = id
-        self.last_at = now
+        self.last_event_at = now
--- a/src/guavacleat/forwarding/wire.py
+++ b/src/guavacleat/forwarding/wire.py
@@ -1,4 +1,4 @@
-"""What the forwarding needs to know of the names on the wire; an adapter implements it."""
+"""Interface of the wire format: header names and request bodies. Adapters implement it."""
 
 from guavacleat.forwarding.messages import (
     EndpointStatus,
@@ -14,20 +14,20 @@
 
 
 class Wire:
-    """Translates between headers and bodies on the wire and the product's types."""
+    """Converts between the wire format and the types in :mod:`guavacleat.forwarding.messages`."""
 
     def parse_request_metadata(self, headers: Headers) -> RequestMetadata:
         raise NotImplementedError
 
     def endpoint_headers(self, headers: Headers, metadata: ForwardingMetadata) -> Headers:
-        """The caller's headers as an endpoint gets them, with what the gateway adds."""
+        """Return the caller's headers with those that the gateway sets for an endpoint."""
         raise NotImplementedError
 
     def parse_response_metadata(self, headers: Headers) -> ResponseMetadata:
         raise NotImplementedError
 
     def refusal_headers(self, request_id: str, retry_after: float | None) -> Headers:
-        """Headers of an answer of the gateway's own; ``retry_after`` in seconds."""
+        """Headers of an error response from the gateway; ``retry_after`` in seconds."""
         raise NotImplementedError
 
     def encode_move(
@@ -40,12 +40,12 @@
         raise NotImplementedError
 
     def encode_status_request(self) -> tuple[bytes, bytes]:
-        """Method and target of the call that asks an endpoint for its state."""
+        """Method and target of the endpoint status request."""
         raise NotImplementedError
 
     def decode_status(self, status: int, body: bytes) -> EndpointStatus:
         raise NotImplementedError
 
     def free_copy_target(self, handle: str) -> bytes:
-        """The target of the DELETE that frees a copy, sent to its source."""
+        """Target of the DELETE request that frees a copy, sent to the copy's source."""
         raise NotImplementedError
--- a/src/guavacleat/migration/__init__.py
+++ b/src/guavacleat/migration/__init__.py
@@ -1,4 +1,4 @@
-"""Moving running generations off engines that are leaving."""
+"""Migration of running generations from engines that are leaving."""
 
 from guavacleat.migration.evacuation import Evacuator
 
--- a/src/guavacleat/migration/evacuation.py
+++ b/src/guavacleat/migration/evacuation.py
@@ -1,19 +1,18 @@
-"""Moving the streams of a leaving engine to others before it is gone.
+"""Migrates the streams of a leaving engine to other engines.
 
-An engine that is taken away leaves a second or two after its notice, and long streams would be
-cut. Each is copied to another engine while it runs, and as soon as there is a copy it is handed
-over: it goes on at the other engine from the event that its caller has.
+An engine may be reclaimed one or two seconds after its notice. Each stream is copied to another
+engine while it runs, and handed over once the copy exists: it resumes there after the last event
+that the caller received.
 
-All copies off an engine go over its one link, so each gateway has one under way at a time. Runs
-are not stopped for it: a run that is stopped while other copies queue pauses until they are
-through, 0.2 to 1.6 s, where callers bear 0.18 s.
+All copies from an engine share its network link, so each gateway makes one at a time. Runs are not
+stopped for the copy, because a stopped run would pause while other copies are queued.
 """
 
 from eliot import log_message
 from twisted.internet import defer, task
 
 from guavacleat.forwarding.copies import free_copy
-from guavacleat.forwarding.memory import HeldCopy
+from guavacleat.forwarding.memory import RunCopy
 from guavacleat.forwarding.messages import MoveResponse
 from guavacleat.forwarding.session import StreamSession
 from guavacleat.http1.calls import CallBrokenError, call
@@ -22,119 +21,119 @@
 
 __all__ = ["Evacuator"]
 
-# A copy takes less even when others queue before it; one not done by then is not worth waiting for.
-COPY_SECONDS = 3.0
-# A request that the engine has not begun to run cannot be moved yet.
-RETRY_SECONDS = 0.1
-# Between looks for a stream whose copy is ready.
-HAND_OVER_PAUSE_SECONDS = 0.02
-# How long after its notice an engine's streams are still worth moving.
+COPY_TIMEOUT_SECONDS = 3.0
+# Delay before the next try to copy; a request that has not started to run cannot be copied yet.
+COPY_RETRY_SECONDS = 0.1
+# Interval between checks for a stream whose copy is ready.
+HANDOVER_POLL_SECONDS = 0.02
+# Streams are migrated until this long after the engine's notice.
 EVACUATION_SECONDS = 6.0
-# Runs that seemed short at the notice are moved too if they still run after this long: a copy has
-# to be made within what is then left of the notice.
-SHORT_RUNS_SECONDS = 0.8
-# The users weigh a token of output like so many of the prompt; what is worth most per token is
-# copied first.
-OUTPUT_WORTH = 10
-# Several times the pause between events of a stream that runs.
+# Runs that were expected to end soon are migrated too if they are still running after this delay.
+SHORT_RUN_DELAY_SECONDS = 0.8
+# Value of an output token relative to a prompt token, for the order of the copies.
+OUTPUT_TOKEN_WEIGHT = 10
+# A stream without events for this long is assumed to be lost with the former process.
 RESTART_SILENCE_SECONDS = 0.3
-NO_SUCH_RUN = 404
+RUN_NOT_FOUND = 404
 
 
 class Evacuator:
-    """Moves streams; ``sessions`` is the set of those running in this gateway."""
+    """Migrates streams; ``sessions`` is the set of this gateway's active streams."""
 
     def __init__(self, context, sessions: set[StreamSession]):
         self.context = context
         self.sessions = sessions
 
     def endpoint_leaving(self, entry: EndpointEntry) -> None:
-        """Hear that an endpoint will soon be gone."""
+        """Migrate the streams of an endpoint that will shut down soon."""
         self._drop_copies_on(entry)
-        if self._on(entry):
-            evacuating = defer.Deferred.fromCoroutine(self._evacuate(entry))
-            evacuating.addErrback(self._note_error)
+        if self._streams_on(entry):
+            evacuation_task = defer.Deferred.fromCoroutine(self._evacuate(entry))
+            evacuation_task.addErrback(self._log_error)
 
     def endpoint_restarted(self, former: EndpointEntry) -> None:
-        """Hear that an endpoint's process is gone and another has its id and address.
+        """Resume streams elsewhere after an endpoint restarted with the same id and address.
 
-        A stream that ran there is lost there; without this, one whose connection was not reset
-        would wait for events that never come until its caller leaves.
+        Otherwise a stream whose connection was not reset would wait for events until its deadline.
         """
         self._drop_copies_on(former)
-        for session in self._on(former):
+        for session in self._streams_on(former):
             events = session.memory.events
             self.context.clock.callLater(
-                RESTART_SILENCE_SECONDS, self._leave_if_silent, session, former, events
+                RESTART_SILENCE_SECONDS, self._stop_if_silent, session, former, events
             )
 
-    def _leave_if_silent(self, session: StreamSession, former: EndpointEntry, events: int) -> None:
-        """Go on elsewhere, unless the stream's events show that it began on the new process."""
-        if events and session.memory.events == events and self._still_there(session, former):
+    def _stop_if_silent(self, session: StreamSession, former: EndpointEntry, events: int) -> None:
+        """Stop the attempt, unless new events show that it runs in the new process."""
+        if events and session.memory.events == events and self._runs_on(session, former):
             log_message(
                 message_type="stream:left-behind",
                 request=session.request.metadata.id,
                 endpoint=former.id,
             )
-            session.leave_engine()
+            session.stop_current_attempt()
 
     def _drop_copies_on(self, entry: EndpointEntry) -> None:
         for session in self.sessions:
             if session.memory.copy is not None and session.memory.copy.entry.id == entry.id:
                 session.memory.drop_copy()
 
-    def _on(self, entry: EndpointEntry) -> list[StreamSession]:
-        return [session for session in self.sessions if self._still_there(session, entry)]
+    def _streams_on(self, entry: EndpointEntry) -> list[StreamSession]:
+        return [session for session in self.sessions if self._runs_on(session, entry)]
 
     def _unprotected(self, entry: EndpointEntry) -> list[StreamSession]:
-        """Streams on ``entry`` that would be lost with it."""
+        """Streams on ``entry`` that have no copy elsewhere."""
         return [
             session
-            for session in self._on(entry)
+            for session in self._streams_on(entry)
             if session.memory.copy is None and session.handover is None
         ]
 
-    def _note_error(self, failure) -> None:
+    def _log_error(self, failure) -> None:
         log_message(message_type="move:error", error=failure.getTraceback())
 
     async def _evacuate(self, entry: EndpointEntry) -> None:
-        """Copy this gateway's streams off ``entry``, and hand each over to where its copy is."""
+        """Copy this gateway's streams from ``entry`` to other engines and hand them over."""
         began = self.context.clock.seconds()
         log_message(
             message_type="move:began",
             endpoint=entry.id,
-            streams=len(self._on(entry)),
+            streams=len(self._streams_on(entry)),
             unprotected=len(self._unprotected(entry)),
         )
-        handing_over = defer.Deferred.fromCoroutine(self._hand_over_all(entry, began))
-        handing_over.addErrback(self._note_error)
+        handover_task = defer.Deferred.fromCoroutine(self._hand_over_all(entry, began))
+        handover_task.addErrback(self._log_error)
         failed: set[StreamSession] = set()
-        while self._evacuating(entry, began):
-            session = self._next(self._unprotected(entry), began, failed)
+        while self._is_evacuating(entry, began):
+            session = self._choose_next(self._unprotected(entry), began, failed)
             if session is None:
                 failed.clear()
-                await task.deferLater(self.context.clock, RETRY_SECONDS)
-            elif not await self._copy_somewhere(session, entry):
+                await task.deferLater(self.context.clock, COPY_RETRY_SECONDS)
+            elif not await self._copy_to_another_engine(session, entry):
                 failed.add(session)
 
     async def _hand_over_all(self, entry: EndpointEntry, began: float) -> None:
-        """Hand streams over one after the other as soon as there is a copy of each."""
+        """Hand over streams one by one as their copies become ready."""
         failed: set[StreamSession] = set()
-        while self._evacuating(entry, began):
-            protected = [session for session in self._on(entry) if session.memory.copy_usable()]
-            session = self._next(protected, began, failed)
+        while self._is_evacuating(entry, began):
+            protected = [
+                session for session in self._streams_on(entry) if session.memory.copy_usable()
+            ]
+            session = self._choose_next(protected, began, failed)
             if session is None:
                 failed.clear()
-                await task.deferLater(self.context.clock, HAND_OVER_PAUSE_SECONDS)
+                await task.deferLater(self.context.clock, HANDOVER_POLL_SECONDS)
             elif not await session.hand_over():
                 failed.add(session)
 
-    def _evacuating(self, entry: EndpointEntry, began: float) -> bool:
-        return self.context.clock.seconds() - began < EVACUATION_SECONDS and bool(self._on(entry))
+    def _is_evacuating(self, entry: EndpointEntry, began: float) -> bool:
+        return self.context.clock.seconds() - began < EVACUATION_SECONDS and bool(
+            self._streams_on(entry)
+        )
 
-    def _next(self, sessions, began: float, failed: set) -> StreamSession | None:
-        """The stream to move next: of those that will run on, the one worth most per token."""
-        late = self.context.clock.seconds() - began >= SHORT_RUNS_SECONDS
+    def _choose_next(self, sessions, began: float, failed: set) -> StreamSession | None:
+        """Return the stream with the highest value per copied token; None if there is none."""
+        late = self.context.clock.seconds() - began >= SHORT_RUN_DELAY_SECONDS
         waiting = [
             session
             for session in sessions
@@ -142,43 +141,43 @@
             and session.last_event is not None
             and (late or session.memory.worth_moving())
         ]
-        return max(waiting, key=_worth_per_token, default=None)
+        return max(waiting, key=_value_per_copied_token, default=None)
 
-    def _still_there(self, session: StreamSession, entry: EndpointEntry) -> bool:
-        leg = session.leg
-        if leg is None or session.finished or leg.ended:
+    def _runs_on(self, session: StreamSession, entry: EndpointEntry) -> bool:
+        attempt = session.attempt
+        if attempt is None or session.finished or attempt.ended:
             return False
-        return leg.entry.is_same_process(entry)
+        return attempt.entry.is_same_process(entry)
 
-    async def _copy_somewhere(self, session: StreamSession, entry: EndpointEntry) -> bool:
-        """Copy one stream, trying two targets; return whether there is a copy now."""
+    async def _copy_to_another_engine(self, session: StreamSession, entry: EndpointEntry) -> bool:
+        """Copy one stream, trying up to two targets; return whether it succeeded."""
         tried: set[str] = set()
         for _ in range(2):
             engine = session.request.traits.engine
             expected = session.memory.expected_tokens()
             target = self.context.placement.choose_move_target(entry, expected, engine, tried)
-            if target is None or not self._still_there(session, entry):
+            if target is None or not self._runs_on(session, entry):
                 return False
             tried.add(target.id)
             began = self.context.clock.seconds()
-            # The copy takes memory there from the moment it is asked for.
-            arriving = Run(f"move:{session.request.metadata.id}", expected)
-            self.context.load.begin(target.id, arriving)
-            answer = await self._copy(session, entry, target)
-            self._log("move:copied", session, entry, target, answer.status, began)
-            useful = (
-                answer.copied
-                and self._still_there(session, entry)
+            # Reserves the memory on the target before the copy is made.
+            reservation = Run(f"move:{session.request.metadata.id}", expected)
+            self.context.load.begin(target.id, reservation)
+            response = await self._copy(session, entry, target)
+            self._log("move:copied", session, entry, target, response.status, began)
+            usable = (
+                response.copied
+                and self._runs_on(session, entry)
                 and self.context.registry.is_current(target)
             )
-            if useful:
-                session.memory.keep_copy(HeldCopy(target, entry, answer.handle))
-            self.context.load.end(target.id, arriving)
-            if useful:
+            if usable:
+                session.memory.set_copy(RunCopy(target, entry, response.handle))
+            self.context.load.end(target.id, reservation)
+            if usable:
                 return True
-            if answer.copied:
-                await free_copy(self.context, entry.address, answer.handle)
-            if answer.status == NO_SUCH_RUN:
+            if response.copied:
+                await free_copy(self.context, entry.address, response.handle)
+            if response.status == RUN_NOT_FOUND:
                 return False
         return False
 
@@ -188,7 +187,7 @@
             session.request.metadata.id, target.address
         )
         try:
-            answer = await call(
+            response = await call(
                 context.clock,
                 context.pool,
                 source.address,
@@ -196,11 +195,11 @@
                 path,
                 headers,
                 body,
-                COPY_SECONDS,
+                COPY_TIMEOUT_SECONDS,
             )
         except CallBrokenError:
             return MoveResponse(0, None)
-        return context.wire.decode_move(answer.code, answer.body)
+        return context.wire.decode_move(response.code, response.body)
 
     def _log(self, message_type, session, source, target, status, began) -> None:
         log_message(
@@ -214,8 +213,8 @@
         )
 
 
-def _worth_per_token(session: StreamSession) -> float:
-    """What the link earns by copying the stream: its worth by its size, per token to copy."""
+def _value_per_copied_token(session: StreamSession) -> float:
+    """Weighted size of the request, divided by the tokens to copy."""
     request = session.request
-    size = request.prompt_tokens + OUTPUT_WORTH * request.metadata.max_output_tokens
+    size = request.prompt_tokens + OUTPUT_TOKEN_WEIGHT * request.metadata.max_output_tokens
     return size / max(1, session.memory.tokens)
--- a/tests/forwarding/harness.py
+++ b/tests/forwarding/harness.py
@@ -1,4 +1,4 @@
-"""A gateway's forwarding without a network: endpoints are driven by the test, time by a Clock."""
+"""Test harness for forwarding without a network; tests control the endpoints and the clock."""
 
 from twisted.internet import defer
 from twisted.internet.error import ConnectionRefusedError
@@ -23,7 +23,7 @@
 
 
 class FakeWire(Wire):
-    """Header names of the tests' own: ``id``, ``sealed``, ``not-run``, ``resume``."""
+    """Wire format for tests: headers ``id``, ``sealed``, ``not-run``, ``resume`` and others."""
 
     def parse_request_metadata(self, headers):
         values = dict(headers)
@@ -65,7 +65,7 @@
 
 
 class FakeEndpointConnection:
-    """A connection as the gateway's side uses it, and the endpoint's end as the test plays it."""
+    """Fake connection to an endpoint; the test sends the endpoint's responses."""
 
     def __init__(self, address):
         self.address = address
@@ -113,7 +113,7 @@
 
 
 class FakePool:
-    """Hands out :class:`FakeEndpointConnection` connections; addresses in ``refused`` refuse."""
+    """Opens fake connections, except to the addresses in ``refused``."""
 
     __test__ = False
 
@@ -128,18 +128,18 @@
         return defer.succeed(self.connections[-1])
 
     def connect_anew(self, address):
-        """Connections that are only tried are not kept: a test counts those that are used."""
+        """Open a probe connection, which is not recorded in ``connections``."""
         if address in self.refused:
             return defer.fail(ConnectionRefusedError(str(address)))
         return defer.succeed(FakeEndpointConnection(address))
 
     def to(self, name) -> list[FakeEndpointConnection]:
-        """Connections to the endpoint of this name, oldest first."""
-        return [side for side in self.connections if side.address[0] == name]
+        """Connections to the endpoint ``name``, oldest first."""
+        return [found for found in self.connections if found.address[0] == name]
 
 
 class FakeCaller:
-    """What a caller sees: stands in for its connection."""
+    """Fake caller connection that records the response."""
 
     def __init__(self):
         self.open = True
@@ -162,7 +162,7 @@
 
 
 class ForwardingHarness:
-    """One gateway's forwarding with ready endpoints named ``names`` of service ``svc``."""
+    """Forwarding components of one gateway, with endpoints ``names`` of the service ``svc``."""
 
     def __init__(self, clock, names=("e1", "e2", "e3"), engine=ENGINE, bounds=None):
         self.clock = clock
@@ -197,7 +197,7 @@
         self.registry.observe(make_entry(name, data_centre, state))
 
     def request(self, kind=RequestKind.IDEMPOTENT, attempts=2, timeout=2.0, body=b"", **metadata):
-        """A request ``r1`` and the caller who waits for its answer."""
+        """Create the request ``r1`` and its caller."""
         route = Route(
             "r", "h", "/", (Backend("svc", 1),), kind, timeout, 0.1, 0.2, max_attempts=attempts
         )
--- a/tests/forwarding/test_native.py
+++ b/tests/forwarding/test_native.py
@@ -1,16 +1,12 @@
-"""The product's own header names."""
+"""Tests of the default header names."""
 
 import pytest
 
 from guavacleat.forwarding.native import NativeWire
 
 
-def test_what_a_caller_says_is_read_under_its_own_names():
-    """
-    Symptom: with a routes file every generation counts as one of unknown length.
-    Sequence: a caller names its prompt and its longest output; only the prompt is read.
-    Cause: a bound on numbers had taken the name of the header's constant.
-    """
+def test_request_metadata_is_parsed_from_default_headers():
+    """Guards against ignoring the header with the maximum output length."""
     headers = [
         (b"x-request-id", b"r1"),
         (b"x-api-key", b"k1"),
@@ -24,7 +20,7 @@
 
 
 @pytest.mark.parametrize("number", [b"inf", b"nan", b"-7", b"9" * 40, b"x", b""])
-def test_odd_numbers_stay_in_bounds(number):
+def test_invalid_numbers_are_clamped(number):
     names = (b"x-deadline", b"x-prompt-tokens", b"x-max-tokens")
     metadata = NativeWire().parse_request_metadata([(name, number) for name in names])
     assert metadata.caller_timeout is None or 0 <= metadata.caller_timeout < float("inf")
--- a/tests/forwarding/test_plain_machine.py
+++ b/tests/forwarding/test_plain_machine.py
@@ -1,4 +1,7 @@
-"""Whatever endpoints do, in any order: at most once, honest refusals, the own answer or none."""
+"""Property tests of plain requests against endpoints with arbitrary behaviour.
+
+Checks at-most-once execution, correct refusals, and that callers only receive their own response.
+"""
 
 from hypothesis import given, settings
 from hypothesis import strategies as st
@@ -11,17 +14,27 @@
 from tests.forwarding.harness import ForwardingHarness
 
 ENDPOINTS = ("e1", "e2", "e3", "e4")
-# What an endpoint may do with a request, and whether it has run it then.
-ACTS = {
-    "answer": (lambda side: side.answer(body=b"own"), True),
-    "fail": (lambda side: side.answer(500, body=b"sorry"), True),
-    "refuse": (lambda side: side.answer(503, signed=False, not_run=True, id=None), False),
-    "misdirect": (lambda side: side.answer(421, signed=False, id=None), False),
-    "reset": (lambda side: side.break_off(), True),
-    "foreign": (lambda side: side.answer(id=b"r2", body=b"foreign"), True),
-    "unsigned": (lambda side: side.answer(signed=False, body=b"unsigned"), True),
-    "half": (lambda side: (side.begin(), side.body_bytes(b"ow"), side.break_off()), True),
-    "hang": (lambda side: None, True),
+# Endpoint actions, and whether the request counts as executed after them.
+ACTIONS = {
+    "answer": (lambda connection: connection.answer(body=b"own"), True),
+    "fail": (lambda connection: connection.answer(500, body=b"sorry"), True),
+    "refuse": (
+        lambda connection: connection.answer(503, signed=False, not_run=True, id=None),
+        False,
+    ),
+    "misdirect": (lambda connection: connection.answer(421, signed=False, id=None), False),
+    "reset": (lambda connection: connection.break_off(), True),
+    "foreign": (lambda connection: connection.answer(id=b"r2", body=b"foreign"), True),
+    "unsigned": (lambda connection: connection.answer(signed=False, body=b"unsigned"), True),
+    "half": (
+        lambda connection: (
+            connection.begin(),
+            connection.body_bytes(b"ow"),
+            connection.break_off(),
+        ),
+        True,
+    ),
+    "hang": (lambda connection: None, True),
     "leave": (None, True),
 }
 
@@ -30,10 +43,10 @@
 @given(
     kind=st.sampled_from([RequestKind.IDEMPOTENT, RequestKind.NON_IDEMPOTENT]),
     attempts=st.integers(1, 3),
-    acts=st.lists(st.sampled_from(sorted(ACTS)), min_size=8, max_size=8),
+    actions=st.lists(st.sampled_from(sorted(ACTIONS)), min_size=8, max_size=8),
     unreachable=st.sets(st.sampled_from(ENDPOINTS)),
 )
-def test_any_behaviour_of_endpoints_keeps_the_promises(kind, attempts, acts, unreachable):
+def test_invariants_hold_for_any_endpoint_behaviour(kind, attempts, actions, unreachable):
     harness = ForwardingHarness(Clock(), names=ENDPOINTS, engine=None)
     harness.pool.refused = {(name, 80) for name in unreachable}
     request, caller = harness.request(kind=kind, attempts=attempts, timeout=0.8)
@@ -41,19 +54,19 @@
     done = defer.Deferred.fromCoroutine(PlainForwarder(harness.context).forward(request))
     done.addErrback(lambda failure: refusals.append(failure.value))
     runs = []
-    for number, act in enumerate(acts):
+    for number, action in enumerate(actions):
         if number >= len(harness.pool.connections):
             break
-        side = harness.pool.connections[number]
-        play, has_run = ACTS[act]
-        if has_run:
-            runs.append(act)
-        if act == "leave":
+        connection = harness.pool.connections[number]
+        perform, executed = ACTIONS[action]
+        if executed:
+            runs.append(action)
+        if action == "leave":
             caller.open = False
             request.exchange.on_gone()
         else:
-            play(side)
-        if act == "hang":
+            perform(connection)
+        if action == "hang":
             harness.clock.advance(0.8)
     if kind is RequestKind.NON_IDEMPOTENT:
         assert len(runs) <= 1
