--- a/benchmarks/control_cost.py
+++ b/benchmarks/control_cost.py
@@ -118,14 +118,14 @@
 def occupancy_rows():
     for streams in STREAMS:
         occupancy = EngineOccupancy()
-        occupancy.resize(1_000_000, 2 * streams)
+        occupancy.set_limits(1_000_000, 2 * streams)
         for n in range(streams):
             occupancy.add(str(n), RunningStream(("s", 5), 1000 + n, 2000, n))
         more = RunningStream(("s", 5), 1000, 2000)
         emitted = iter(range(100, 10_000_000))
 
         def report(occupancy=occupancy, emitted=emitted):
-            occupancy.emitted("0", next(emitted))
+            occupancy.record_emitted("0", next(emitted))
             occupancy.report()
 
         fits = cpu_of(lambda occupancy=occupancy, more=more: occupancy.fits(more), CALLS)
--- a/src/guavacleat/gateway/sse.py
+++ b/src/guavacleat/gateway/sse.py
@@ -21,7 +21,7 @@
         self.sent = 0
         request.notifyFinish().addErrback(self._caller_left)
 
-    def serving(self, handle: str) -> None:
+    def set_handle(self, handle: str) -> None:
         """Tell the caller the handle to reconnect with; it changes if the stream moves."""
         self._write({"stream": handle})
 
--- a/src/guavacleat/load/experiment.py
+++ b/src/guavacleat/load/experiment.py
@@ -68,7 +68,7 @@
         self.outcome = "open"
         self.ended: float | None = None
 
-    def serving(self, handle: str) -> None:
+    def set_handle(self, handle: str) -> None:
         """The stream's handle is of no use here: callers of a run do not reconnect."""
 
     def token(self, index: int, text: str) -> None:
--- a/src/guavacleat/load/fleet.py
+++ b/src/guavacleat/load/fleet.py
@@ -101,7 +101,7 @@
         link = DirectEngine(self.engine)
         self.handler = SidecarHandler(name, link, None, clock, policy.headroom)
         if policy.keeps_room:
-            self.handler.refresh()
+            self.handler.refresh_capacity()
         self.dead = False
         self.drained_at: float | None = None
         self.stalled_until = 0.0
--- a/src/guavacleat/sidecar/handler.py
+++ b/src/guavacleat/sidecar/handler.py
@@ -100,7 +100,7 @@
         except LookupError as exc:
             self._close(stream_id)
             raise UnknownStream(stream_id=stream_id) from exc
-        self.occupancy.emitted(stream_id, batch.first_index + len(batch.tokens))
+        self.occupancy.record_emitted(stream_id, batch.first_index + len(batch.tokens))
         if batch.finished:
             self._close(stream_id, finished=True)
         return TokenBatch(
@@ -146,13 +146,13 @@
         )
 
     @defer.inlineCallbacks
-    def refresh(self):
+    def refresh_capacity(self):
         """Read the engine's sizes; without an answer the last ones stand."""
         try:
             report = yield self.engine.load()
         except Exception:  # noqa: BLE001 - whatever keeps the engine from answering
             return
-        self.occupancy.resize(report["kv_capacity"], report["slots"])
+        self.occupancy.set_limits(report["kv_capacity"], report["slots"])
 
     @defer.inlineCallbacks
     def digest(self, since: int):
--- a/src/guavacleat/sidecar/occupancy.py
+++ b/src/guavacleat/sidecar/occupancy.py
@@ -53,7 +53,7 @@
         self.slots = 0
         self._peak: tuple[int, int] | None = (0, 0)
 
-    def resize(self, capacity: int, slots: int) -> None:
+    def set_limits(self, capacity: int, slots: int) -> None:
         """Take in the engine's sizes from its load report."""
         self.capacity = capacity
         self.slots = slots
@@ -75,7 +75,7 @@
         self.streams_by_id[stream_id] = stream
         self._peak = None
 
-    def emitted(self, stream_id: str, total: int) -> None:
+    def record_emitted(self, stream_id: str, total: int) -> None:
         """Note that a stream has emitted ``total`` tokens so far."""
         stream = self.streams_by_id.get(stream_id)
         if stream is not None and total > stream.emitted:
--- a/src/guavacleat/sidecar/service.py
+++ b/src/guavacleat/sidecar/service.py
@@ -69,7 +69,9 @@
         self.on_superseded = on_superseded or (lambda: None)
         self.lease: Lease | None = None
         self.idle_sweep = Periodic(reactor, IDLE_SWEEP_SECONDS, self.handler.cancel_idle)
-        self.engine_refresh = Periodic(reactor, ENGINE_REFRESH_SECONDS, self.handler.refresh)
+        self.engine_refresh = Periodic(
+            reactor, ENGINE_REFRESH_SECONDS, self.handler.refresh_capacity
+        )
         self.port = None
 
     def startService(self):  # noqa: N802 - Twisted's name
--- a/src/guavacleat/streams/relay.py
+++ b/src/guavacleat/streams/relay.py
@@ -93,7 +93,7 @@
                 break
             before_start = None
             self.resumes += failure is not None
-            sink.serving(serving.handle())
+            sink.set_handle(serving.handle())
             try:
                 yield self._pull_all(request, serving, sink, progress)
                 if progress.finish_reason == FINISHED:
--- a/tests/sidecar/test_occupancy.py
+++ b/tests/sidecar/test_occupancy.py
@@ -14,7 +14,7 @@
 
 def engine_of(capacity, slots=8, lengths=(100,) * 20):
     occupancy = EngineOccupancy(headroom=0.0)
-    occupancy.resize(capacity, slots)
+    occupancy.set_limits(capacity, slots)
     for length in lengths:
         occupancy.lengths.record_finished(KIND, length)
     return occupancy
@@ -102,7 +102,7 @@
     Cause: the room kept for growth was kept from short urgent requests as well.
     """
     occupancy = EngineOccupancy(headroom=0.2)
-    occupancy.resize(1000, 8)
+    occupancy.set_limits(1000, 8)
     for length in (100,) * 20:
         occupancy.lengths.record_finished(KIND, length)
     occupancy.add("1", RunningStream(KIND, 600, 100))
--- a/tests/streams/test_relay.py
+++ b/tests/streams/test_relay.py
@@ -62,7 +62,7 @@
     def end(self, reason):
         self.reason = reason
 
-    def serving(self, handle):
+    def set_handle(self, handle):
         self.handle = handle
 
 
--- a/tests/streams/test_relay_machine.py
+++ b/tests/streams/test_relay_machine.py
@@ -95,7 +95,7 @@
     def end(self, reason):
         pass
 
-    def serving(self, handle):
+    def set_handle(self, handle):
         pass
 
     def _pending(self):
