--- a/src/guavacleat/idempotency/__init__.py
+++ b/src/guavacleat/idempotency/__init__.py
@@ -1,4 +1,4 @@
-"""At-most-once calls: a record per idempotency key, created in the object API before the call."""
+"""At-most-once calls: each idempotency key has a record, created before the call is sent."""
 
 from guavacleat.idempotency.guard import CallGuard
 from guavacleat.idempotency.records import (
--- a/src/guavacleat/idempotency/guard.py
+++ b/src/guavacleat/idempotency/guard.py
@@ -1,4 +1,4 @@
-"""The record of one request's call over its life, for requests that carry an idempotency key."""
+"""The lifecycle of the call record of one request that carries an idempotency key."""
 
 from twisted.internet import defer
 
@@ -6,12 +6,12 @@
 
 __all__ = ["CallGuard", "RELEASE_WAIT_SECONDS"]
 
-# How long a refusal waits for its key to be free in the store.
+# How long a refusal waits until the store has recorded the release of its key.
 RELEASE_WAIT_SECONDS = 2.0
 
 
 class CallGuard:
-    """Claims the key before the call and records how the call ended; without a key, nothing.
+    """Claims the key before the call and records its outcome; does nothing without a key.
 
     :param completion: a ``CompletionRequest``; its ``call`` names the record, or is None.
     """
@@ -32,16 +32,16 @@
         self.claimed = True
 
     def release(self) -> defer.Deferred:
-        """The call was refused by every endpoint: fire with whether a retry may have the key.
+        """Release the key of a call that every endpoint refused; fire with whether that succeeded.
 
-        A caller told to come back before the release is recorded would, if this gateway then dies,
-        find its key held for good by a call that never ran. A store that does not answer is not
-        waited for beyond ``RELEASE_WAIT_SECONDS``; the release goes on after that.
+        The refusal is sent only after the release is recorded: if this gateway crashed in between,
+        the key would stay claimed by a call that never ran. After ``RELEASE_WAIT_SECONDS`` without
+        an answer from the store this fires with False; the release continues in the background.
         """
         if not self.claimed:
             return defer.succeed(True)
         released = defer.Deferred()
-        # The time-out ends the wait alone: cancelled itself, the release would be given up.
+        # The timeout must not cancel the release itself, only the wait.
         self.records.release(self.completion.call, self.completion.request_id).chainDeferred(
             released
         )
@@ -50,12 +50,12 @@
         )
 
     def mark_unknown(self) -> None:
-        """The call may have run and its answer is lost."""
+        """Record that the call may have run and that its response is lost."""
         if self.claimed:
             self.records.mark_unknown(self.completion.call, self.completion.request_id)
 
     def finish(self, progress) -> None:
-        """Keep the answer for retries; ``progress`` is the finished ``StreamProgress``."""
+        """Store the response for retries; ``progress`` is the finished ``StreamProgress``."""
         if self.claimed:
             self.records.finish(
                 self.completion.call,
--- a/tests/idempotency/test_claims_machine.py
+++ b/tests/idempotency/test_claims_machine.py
@@ -1,9 +1,9 @@
 """A hypothesis state machine: non-repeatable calls through two gateways under faults.
 
 Rules: a client tries a key through either gateway, endpoints refuse or run the call, a gateway
-dies with its calls, the store goes down, slows down or loses acknowledgements, time passes.
-Invariants: :func:`guavacleat.checks.check_calls`; and at the end, with the store well, a key
-whose attempts were all refused as not run, to come back with the same key, can still be called.
+dies with its calls, the store fails, slows down or loses acknowledgements, time passes.
+Invariants: :func:`guavacleat.checks.check_calls`; and once the store has recovered, a key whose
+attempts were all refused without being run can still be called.
 """
 
 from hypothesis import settings
@@ -32,18 +32,18 @@
         self.records = [self._gateway(), self._gateway()]
         self.epochs = [0, 0]
         self.attempts = []
-        # Keys whose callers were told to use another one.
+        # Keys whose callers were told to use a new key.
         self.given_up_keys = set()
 
     def _gateway(self):
         return CallRecords(StoreClient("http://store", http=self.http), self.clock)
 
-    def _pass(self, seconds):
+    def pass_time(self, seconds):
         self.clock.advance(seconds)
         self.http.flush()
 
     @rule(key=st.sampled_from(KEYS), gateway=st.sampled_from([0, 1]), refuse=st.booleans())
-    def client_tries(self, key, gateway, refuse):
+    def client_calls(self, key, gateway, refuse):
         attempt = CallAttempt(key)
         self.attempts.append(attempt)
         request_id = f"request-{len(self.attempts)}"
@@ -87,7 +87,7 @@
     @rule(gateway=st.sampled_from([0, 1]))
     def gateway_dies(self, gateway):
         self.epochs[gateway] += 1
-        self.records[gateway].store.http = _Dead()
+        self.records[gateway].store.http = _FailingHttp()
         self.records[gateway] = self._gateway()
 
     @rule(down=st.booleans())
@@ -104,10 +104,10 @@
 
     @rule(seconds=st.sampled_from([0.2, 1.0, 3.0]))
     def time_passes(self, seconds):
-        self._pass(seconds)
+        self.pass_time(seconds)
 
     @invariant()
-    def history_holds(self):
+    def calls_run_at_most_once(self):
         assert check_calls(getattr(self, "attempts", [])) == []
 
     def teardown(self):
@@ -115,7 +115,7 @@
         self.store_app.faults.lose_acks = 0
         self.store_app.faults.delay = 0.0
         for _ in range(OUTAGE_RETRIES):
-            self._pass(2.0)
+            self.pass_time(2.0)
         refused_only = [
             key
             for key in KEYS
@@ -127,11 +127,11 @@
             outcome = []
             claiming.addBoth(outcome.append)
             self.http.flush()
-            assert outcome == [None], f"{key} was never run and cannot be called: {outcome}"
+            assert outcome == [None], f"{key} was never run, yet it cannot be claimed: {outcome}"
 
 
-class _Dead:
-    """The store as a dead gateway reaches it: nothing it still tries has any effect."""
+class _FailingHttp:
+    """A dead gateway's connection to the store: every call fails."""
 
     def request(self, *args, **kwargs):
         raise ConnectionError("this gateway is dead")
--- a/tests/restore/fleet.py
+++ b/tests/restore/fleet.py
@@ -1,6 +1,6 @@
-"""Gateways of several data centres before a store that comes back from copies, on a paused clock.
+"""Gateways of several data centres with a store that is restored from copies, on a fake clock.
 
-As ``tests.peers.fleet``, but each gateway calls the store through its real client.
+Like ``tests.peers.fleet``, but each gateway calls the store through the real client.
 """
 
 from urllib.parse import parse_qs, urlsplit
@@ -17,8 +17,8 @@
 CALL_SECONDS = 0.8
 
 
-class Way:
-    """One gateway's way to the store; ``state`` is ``"open"`` or ``"refused"``."""
+class StoreConnection:
+    """One gateway's connection to the store; ``state`` is ``"open"`` or ``"refused"``."""
 
     def __init__(self, clock, store):
         self.clock, self.store = clock, store
@@ -32,17 +32,17 @@
         query = parse_qs(urlsplit(url).query)
         if "watch" in query and not answer.called:
             wait = int(query["waitMs"][0]) / 1000
-            self.clock.callLater(wait, self._nothing_new, answer, int(query["watch"][0]))
+            self.clock.callLater(wait, self._answer_without_changes, answer, int(query["watch"][0]))
         return answer
 
-    def _nothing_new(self, answer, since):
+    def _answer_without_changes(self, answer, since):
         if not answer.called:
             self.store.waiting = [known for known in self.store.waiting if known[2] is not answer]
             answer.callback(self.store._changes("", since))
 
 
 class Store(StoreStandin):
-    """Writes of engines and operators, as the fleet makes them."""
+    """A store stand-in with the writes of endpoints and operators; counts the calls."""
 
     def __init__(self, clock):
         super().__init__(clock)
@@ -57,28 +57,28 @@
 
 
 class RestoredFleet(fleet.Fleet):
-    """Endpoints write their entries once a second while they live, as the platform's do.
+    """A fleet whose endpoints write their entries once a second while they run.
 
-    :ivar states_by_id: what each living endpoint writes.
+    :ivar states_by_id: the state that each running endpoint writes.
     """
 
     def __init__(self, data_centres=2, per_data_centre=3, endpoints=("e1", "e2")):
         self.states_by_id = {}
         super().__init__(data_centres, per_data_centre, endpoints=endpoints)
-        self.beats = task.LoopingCall(self._beat)
-        self.beats.clock = self.clock
-        self.beats.start(1.0)
+        self.entry_writes = task.LoopingCall(self._write_entries)
+        self.entry_writes.clock = self.clock
+        self.entry_writes.start(1.0)
 
     def make_store(self):
         return Store(self.clock)
 
     def connect(self):
-        way = Way(self.clock, self.store)
-        client = StoreClient("http://store", http=way, dialect=PlatformAdapter().dialect)
-        client.state_of_way = way
+        connection = StoreConnection(self.clock, self.store)
+        client = StoreClient("http://store", http=connection, dialect=PlatformAdapter().dialect)
+        client.store_connection = connection
         return client
 
-    def _beat(self):
+    def _write_entries(self):
         for id, state in self.states_by_id.items():
             self.store.write(fleet.ENDPOINTS, id, state)
 
@@ -90,8 +90,8 @@
         self.states_by_id.pop(id, None)
         super().remove_endpoint(id)
 
-    def lapse_dead(self):
-        """Remove the entries that nobody has written for long."""
+    def remove_stale_entries(self):
+        """Remove the entries of endpoints that no longer run."""
         known = [name for kind, name in self.store.objects if kind == fleet.ENDPOINTS]
         for name in set(known) - set(self.states_by_id):
             self.store.write(fleet.ENDPOINTS, name, None, deleted=True)
--- a/tests/restore/test_claims_machine.py
+++ b/tests/restore/test_claims_machine.py
@@ -1,7 +1,7 @@
-"""A hypothesis state machine: keyed calls at gateways whose store comes back from copies.
+"""A hypothesis state machine: calls with idempotency keys while the store is restored from copies.
 
-Rules: callers send calls and retries through any gateway; the store keeps a copy or comes back from
-it while it is some seconds old; time passes. Invariant: no call runs twice.
+Rules: clients send calls and retries through any gateway; the store is copied, or restored from a
+copy that is seconds old; time passes. Invariant: no call runs twice.
 """
 
 import collections
@@ -13,17 +13,17 @@
 from twisted.internet.task import Clock
 
 from guavacleat.idempotency import CallRecords
-from guavacleat.idempotency.records import RESTORE_SETTLE_SECONDS, REWRITE_SECONDS
+from guavacleat.idempotency.records import RECENT_WRITE_SECONDS, RESTORE_SETTLE_SECONDS
 from guavacleat.standin.store import StoreApp, StoreState
 from guavacleat.store import StoreClient
 from tests.conftest import examples
 
 GATEWAYS = 3
 KEYS = ["k1", "k2"]
-# A gateway makes some call of the store so often: its watches.
+# Interval at which a gateway calls the store, through its watches.
 WATCH_SECONDS = 1.0
-# Copies are some seconds old; with this one, claims are kept for longer than it takes to settle.
-OLDEST_COPY_SECONDS = REWRITE_SECONDS - 2 * RESTORE_SETTLE_SECONDS
+# Claims are remembered for longer than the age of a copy plus the time to settle.
+OLDEST_COPY_SECONDS = RECENT_WRITE_SECONDS - 2 * RESTORE_SETTLE_SECONDS
 
 
 class ClaimsMachine(RuleBasedStateMachine):
@@ -39,15 +39,15 @@
         self.runs_by_key = collections.Counter()
         self.copied_at = 0.0
         self.requests = 0
-        self._watch()
+        self._call_store()
 
-    def _watch(self):
+    def _call_store(self):
         for records in self.records:
             records.store.list_objects("calls").addErrback(lambda failure: None)
         self.http.flush()
 
     @rule(gateway=st.integers(0, GATEWAYS - 1), key=st.sampled_from(KEYS), finishes=st.booleans())
-    def a_call_comes(self, gateway, key, finishes):
+    def client_calls(self, gateway, key, finishes):
         self.requests += 1
         request, records = f"r{self.requests}", self.records[gateway]
         claiming = records.claim(key, request, "body")
@@ -60,18 +60,18 @@
             records.finish(key, request, ["a"], "stop")
 
     @rule()
-    def store_keeps_a_copy(self):
+    def store_is_copied(self):
         self.app.state.copy()
         self.copied_at = self.clock.seconds()
 
     @precondition(lambda self: self.clock.seconds() - self.copied_at <= OLDEST_COPY_SECONDS)
     @rule()
-    def store_comes_back_from_its_copy(self):
+    def store_is_restored(self):
         self.app.state.restore()
 
     @precondition(lambda self: self.clock.seconds() - self.copied_at <= OLDEST_COPY_SECONDS)
     @rule()
-    def store_comes_back_and_all_settle(self):
+    def store_is_restored_and_gateways_settle(self):
         self.app.state.restore()
         self.time_passes(2 * RESTORE_SETTLE_SECONDS)
 
@@ -80,7 +80,7 @@
         for step in range(1, round(seconds / 0.2) + 1):
             self.clock.advance(0.2)
             if step * 0.2 % WATCH_SECONDS < 0.2:
-                self._watch()
+                self._call_store()
             self.http.flush()
 
     @invariant()
--- a/tests/restore/test_records.py
+++ b/tests/restore/test_records.py
@@ -1,4 +1,4 @@
-"""What is kept in a store that comes back from a copy: calls, orders, leases, configuration."""
+"""Calls, orders, leases and configuration in a store that is restored from a copy."""
 
 import json5
 import pytest
@@ -12,28 +12,28 @@
 from tests.conftest import endpoint_record, result_of
 from tests.e2e.processes import NILE
 
-SETTLED_SECONDS = 10.0
+SETTLE_SECONDS = 10.0
 
 
 @pytest.fixture
 def gateway(stub_http, clock):
-    """Makes the records of one more gateway."""
+    """Returns a factory of the call records of another gateway."""
     return lambda: CallRecords(StoreClient("http://store", http=stub_http), clock)
 
 
-def settle(clock, stub_http, seconds=SETTLED_SECONDS):
+def settle(clock, stub_http, seconds=SETTLE_SECONDS):
     for _ in range(round(seconds / 0.1)):
         clock.advance(0.1)
         stub_http.flush()
 
 
 def test_a_call_whose_record_was_lost_does_not_run_twice(gateway, store_app, stub_http, clock):
-    """Guards against a retry that finds no record, as the store has lost it."""
+    """Guards against running a retry because the restored store has lost its record."""
     first, second = gateway(), gateway()
     store_app.state.copy()
     result_of(first.claim("k", "r1", "body"), stub_http.flush)
     store_app.state.restore()
-    # Another call of each shows them the restore; the retry comes at once.
+    # The retry arrives before the first gateway has noticed the restore.
     with pytest.raises(NotRunError):
         result_of(second.claim("k", "r2", "body"), stub_http.flush)
     first.store.get("calls", "other")
@@ -43,7 +43,7 @@
         result_of(second.claim("k", "r3", "body"), stub_http.flush)
 
 
-def test_an_answer_whose_record_was_lost_is_still_replayed(gateway, store_app, stub_http, clock):
+def test_a_response_whose_record_was_lost_is_still_replayed(gateway, store_app, stub_http, clock):
     first, second = gateway(), gateway()
     store_app.state.copy()
     result_of(first.claim("k", "r1", "body"), stub_http.flush)
@@ -58,7 +58,7 @@
     assert caught.value.answer == (["a", "b"], "stop")
 
 
-def test_calls_are_taken_again_after_a_restore(gateway, store_app, stub_http, clock):
+def test_calls_are_accepted_again_after_a_restore(gateway, store_app, stub_http, clock):
     records = gateway()
     store_app.state.restore()
     records.store.get("calls", "other")
@@ -69,18 +69,18 @@
     result_of(records.claim("k", "r2", "body"), stub_http.flush)
 
 
-def test_no_fencing_number_is_given_out_twice(store, store_app, stub_http):
-    """Guards against two orders under one number, of which the engine may apply the older."""
+def test_no_fencing_number_is_issued_twice(store, store_app, stub_http):
+    """Guards against two orders with one fencing number: the engine may apply the older one."""
     store_app.state.copy()
-    given = [result_of(issue_order(store, "e1"), stub_http.flush) for _ in range(3)]
+    issued = [result_of(issue_order(store, "e1"), stub_http.flush) for _ in range(3)]
     store_app.state.restore()
-    given += [result_of(issue_order(store, "e1"), stub_http.flush) for _ in range(3)]
-    assert given == sorted(set(given))
-    assert result_of(current_fencing(store, "e1"), stub_http.flush) == given[-1]
+    issued += [result_of(issue_order(store, "e1"), stub_http.flush) for _ in range(3)]
+    assert issued == sorted(set(issued))
+    assert result_of(current_fencing(store, "e1"), stub_http.flush) == issued[-1]
 
 
-def test_an_accepted_configuration_stays_until_a_later_one(store, store_app, stub_http):
-    """Guards against the copy's older configuration, which is of a later era."""
+def test_an_accepted_configuration_is_replaced_only_by_a_newer_one(store, store_app, stub_http):
+    """Guards against applying the copy's older configuration, whose era is higher."""
     holder = ConfigHolder()
     settings = json5.loads(NILE.read_text())
 
@@ -100,8 +100,8 @@
     assert holder.offer(second) is False
 
 
-def test_an_endpoint_that_drains_is_not_ready_by_an_older_record(clock):
-    """Guards against new work for an endpoint that the copy calls serving."""
+def test_a_draining_endpoint_is_not_ready_by_an_older_record(clock):
+    """Guards against new work for a draining endpoint that is serving in the copy."""
     view = MembershipView(clock)
     view.observe(endpoint_record("e1", session="s", beat=5))
     view.observe(endpoint_record("e1", session="s", beat=9, draining=True))
--- a/tests/restore/test_restore_machine.py
+++ b/tests/restore/test_restore_machine.py
@@ -1,8 +1,8 @@
-"""A hypothesis state machine: what gateways believe while their store comes back from copies.
+"""A hypothesis state machine: the state of gateways while their store is restored from copies.
 
-Rules: configurations and endpoints change; the store keeps a copy or comes back from it; gateways
-are deaf to the store for a while. Invariants: no configuration goes back; once the last change is
-over for a while, every gateway knows exactly the endpoints that live and take work.
+Rules: configurations and endpoints change; the store is copied or restored; gateways lose their
+connection to the store for a while. Invariants: no configuration reverts; once changes have
+settled, every gateway knows exactly the endpoints that run and accept work.
 """
 
 from hypothesis import settings
@@ -24,12 +24,12 @@
         self.fleet = RestoredFleet(2, 2, endpoints=ENDPOINTS)
         self.version = 1
         self.versions_by_gateway = {}
-        self.lives = 0
+        self.starts = 0
         self.fleet.pass_time(2.0)
         self.fleet.store.copy()
 
     @rule()
-    def operator_applies(self):
+    def operator_applies_configuration(self):
         self.version += 1
         self.fleet.configure(self.version)
 
@@ -40,45 +40,47 @@
 
     @rule(id=st.sampled_from(ENDPOINTS))
     def endpoint_is_replaced(self, id):
-        """Each start has an id of its own."""
-        self.lives += 1
+        """Each start gets a new id."""
+        self.starts += 1
         if id in self.fleet.states_by_id:
             self.fleet.remove_endpoint(id)
-        self.fleet.set_endpoint(f"{id}.{self.lives}", "ready")
+        self.fleet.set_endpoint(f"{id}.{self.starts}", "ready")
 
     @rule()
-    def store_keeps_a_copy(self):
+    def store_is_copied(self):
         self.fleet.store.copy()
 
     @rule()
-    def store_comes_back_from_its_copy(self):
+    def store_is_restored(self):
         self.fleet.restore()
 
     @rule(name=st.sampled_from(GATEWAYS), state=st.sampled_from(["open", "refused"]))
-    def store_serves(self, name, state):
-        self.fleet.gateways[name].link.state_of_way.state = state
+    def store_connection_changes(self, name, state):
+        self.fleet.gateways[name].link.store_connection.state = state
 
     @rule(seconds=st.sampled_from([0.1, 0.5, 2.0]))
     def time_passes(self, seconds):
         self.fleet.pass_time(seconds)
 
     @rule()
-    def all_is_calm(self):
-        """The store serves all, dead entries lapse, and the operator has written again."""
+    def system_settles(self):
+        """The store is reachable, stale entries are gone, the configuration is applied again."""
         for gateway in self.fleet.gateways.values():
-            gateway.link.state_of_way.state = "open"
+            gateway.link.store_connection.state = "open"
         self.fleet.configure(self.version)
         self.fleet.pass_time(1.0)
-        self.fleet.lapse_dead()
+        self.fleet.remove_stale_entries()
         self.fleet.pass_time(BOUND_SECONDS + REREGISTRATION_SECONDS)
         live = {id for id, state in self.fleet.states_by_id.items() if state == "ready"}
-        beliefs = {name: gateway.ready_ids() for name, gateway in self.fleet.gateways.items()}
-        assert beliefs == dict.fromkeys(beliefs, live)
+        ready_ids_by_gateway = {
+            name: gateway.ready_ids() for name, gateway in self.fleet.gateways.items()
+        }
+        assert ready_ids_by_gateway == dict.fromkeys(ready_ids_by_gateway, live)
         versions = {gateway.holder.version for gateway in self.fleet.gateways.values()}
         assert versions == {self.version}
 
     @invariant()
-    def no_configuration_goes_back(self):
+    def configurations_never_revert(self):
         if not hasattr(self, "fleet"):
             return
         for name, gateway in self.fleet.gateways.items():
