--- a/src/guavacleat/orders/__init__.py
+++ b/src/guavacleat/orders/__init__.py
@@ -1,4 +1,4 @@
-"""Orders to engines (load a model, adapter or version; change role) under fencing numbers."""
+"""Orders to engines (load a model, adapter or version; change role) with fencing numbers."""
 
 from guavacleat.orders.fencing import ORDER_KIND, current_fencing, issue_order
 
--- a/src/guavacleat/orders/fencing.py
+++ b/src/guavacleat/orders/fencing.py
@@ -1,11 +1,11 @@
-"""Fencing numbers for orders, kept as the version of ``orders/<endpoint>`` in the object API.
-
-An issuer takes a number by a conditional update of the endpoint's order object: the new
-version is its fencing number, and every later issuer gets a higher one, also after the store came
-back from an older copy: a version holds the store's era above its number. A holder paused past
-its turn still carries its old number; the sidecar compares the number with the object's
-current version before forwarding (:meth:`SidecarHandler.order`), so the old order is refused
-whatever the engine does with fencing numbers, and nothing depends on the sidecar's memory.
+"""Fencing numbers for orders, stored as the version of ``orders/<endpoint>`` in the object API.
+
+An issuer obtains a number by a conditional update of the endpoint's order object: the new version
+is its fencing number. Every later issuer gets a higher one, even after the store is restored from
+an older copy, because the high bits of a version hold the store's era. The sidecar compares an
+order's number with the object's current version before forwarding it
+(:meth:`SidecarHandler.order`). A delayed order is therefore refused even if the engine ignores
+fencing numbers, and the sidecar needs no state of its own.
 """
 
 from twisted.internet import defer
@@ -26,10 +26,10 @@
 
 @defer.inlineCallbacks
 def issue_order(store: StoreClient, endpoint: str):
-    """Take the next fencing number for ``endpoint``; fire with it.
+    """Obtain the next fencing number for ``endpoint``; fire with it.
 
-    Raises ConflictError if another issuer took one in between (take again), and
-    StoreUnavailableError if the store did not answer (no number was safely taken).
+    Raises ConflictError if another issuer obtained one at the same time (try again), and
+    StoreUnavailableError if the store did not answer (the number may or may not have been issued).
     """
     version = yield current_fencing(store, endpoint)
     stored = yield store.put(ORDER_KIND, endpoint, {"issued": version + 1}, version)
--- a/tests/orders/test_fencing.py
+++ b/tests/orders/test_fencing.py
@@ -1,4 +1,4 @@
-"""Orders with fencing numbers: a paused issuer's old order never reaches any engine."""
+"""Orders with fencing numbers: a delayed order never reaches an engine after a newer one."""
 
 import pytest
 from twisted.internet import defer
@@ -6,7 +6,7 @@
 
 from guavacleat.orders import issue_order
 from guavacleat.orders.issue import (
-    ORDER_TIMEOUT,
+    ORDER_TIMEOUT_SECONDS,
     OrderLostError,
     OrderRefusedError,
     send_order,
@@ -18,8 +18,8 @@
 from tests.conftest import result_of
 
 
-class OnePool:
-    """Reaches one sidecar's handler in place of a thrift connection."""
+class SingleHandlerPool:
+    """A connection pool that returns one sidecar's handler instead of a thrift client."""
 
     def __init__(self, handler):
         self.handler = handler
@@ -29,7 +29,7 @@
 
 
 class EngineAdapter:
-    """Calls a stand-in Engine directly, as the HTTP client would."""
+    """An engine client that calls a stand-in Engine directly."""
 
     def __init__(self, engine):
         self.engine = engine
@@ -39,20 +39,18 @@
 
 
 @pytest.mark.parametrize("mode", ["refuse", "ignore"])
-def test_paused_issuer_cannot_apply_old_order(clock, store, stub_http, mode):
-    """
-    Symptom: an engine loads an old model version after a newer order was applied.
-    Sequence: issuer A takes fencing number 1 and pauses; issuer B takes 2 and orders v2;
-    A wakes, still believing it holds the lease, and sends its order for v1.
-    Cause: engines of some deployments ignore fencing numbers; the sidecar must refuse for them.
+def test_delayed_order_is_refused_after_a_newer_one(clock, store, stub_http, mode):
+    """Guards against an older order that is applied after a newer one.
+
+    Some engines ignore fencing numbers, so the sidecar must refuse the order itself.
     """
     engine = Engine(clock, EngineSettings(fencing=mode))
     handler = SidecarHandler("e1", EngineAdapter(engine), store, clock)
-    paused = result_of(issue_order(store, "e1"), stub_http.flush)
+    older = result_of(issue_order(store, "e1"), stub_http.flush)
     newer = result_of(issue_order(store, "e1"), stub_http.flush)
     result_of(handler.order(Order("model", "v2", newer)), stub_http.flush)
     with pytest.raises(StaleOrder):
-        result_of(handler.order(Order("model", "v1", paused)), stub_http.flush)
+        result_of(handler.order(Order("model", "v1", older)), stub_http.flush)
     assert engine.loaded_by_kind == {"model": "v2"}
 
 
@@ -66,12 +64,10 @@
     assert engine.loaded_by_kind == {}
 
 
-def test_order_checked_slowly_does_not_pass_a_newer_one(clock, store, store_app, stub_http):
-    """
-    Symptom: as above, through one sidecar and with both issuers awake.
-    Sequence: the check of order 1 is answered slowly; order 2 is issued, checked and forwarded
-    meanwhile; then order 1's check returns.
-    Cause: the sidecar checked and forwarded orders side by side.
+def test_order_checked_slowly_does_not_overtake_a_newer_one(clock, store, store_app, stub_http):
+    """Guards against a sidecar that checks and forwards orders concurrently.
+
+    An order whose check is answered late must not overtake a newer one.
     """
     engine = Engine(clock, EngineSettings(fencing="ignore"))
     handler = SidecarHandler("e1", EngineAdapter(engine), store, clock)
@@ -90,7 +86,7 @@
     assert engine.loaded_by_kind == {"model": "v2"}
 
 
-def _frozen(order):
+def _never_answers(order):
     return defer.Deferred()
 
 
@@ -101,27 +97,23 @@
     ("e1", "model", lambda order: defer.fail(StaleOrder(fencing=1, newest=2)), OrderRefusedError),
     ("e1", "model", lambda order: defer.fail(ConnectError()), OrderRefusedError),
     ("e1", "model", lambda order: defer.fail(ConnectionResetError()), OrderLostError),
-    ("e1", "model", _frozen, OrderLostError),
+    ("e1", "model", _never_answers, OrderLostError),
 ]
 
 
 @pytest.mark.parametrize("endpoint,kind,call,error", SEND_FAULTS)
-def test_order_that_fails_says_whether_it_applied(
+def test_error_of_an_order_says_whether_it_was_applied(
     clock, store, stub_http, endpoint, kind, call, error
 ):
-    """
-    Symptom: an operator is left not knowing whether an engine took an order.
-    Sequence: the order is malformed, names no endpoint, is overtaken, or its answer is lost.
-    Cause: refused and unknown are different; each needs its own remedy.
-    """
+    """Guards against an error that does not say whether the order may have been applied."""
     handler = SidecarHandler("e1", EngineAdapter(Engine(clock, EngineSettings())), store, clock)
     if call is not None:
         handler.order = call
     result_of(store.put("endpoints", "e1", {"address": "a"}, 0), stub_http.flush)
-    sending = send_order(clock, store, OnePool(handler), endpoint, kind, "v1")
+    sending = send_order(clock, store, SingleHandlerPool(handler), endpoint, kind, "v1")
     for _ in range(4):
         stub_http.flush()
-    clock.advance(ORDER_TIMEOUT)
+    clock.advance(ORDER_TIMEOUT_SECONDS)
     with pytest.raises(error):
         result_of(sending, stub_http.flush)
 
@@ -130,7 +122,7 @@
     engine = Engine(clock, EngineSettings())
     handler = SidecarHandler("e1", EngineAdapter(engine), store, clock)
     result_of(store.put("endpoints", "e1", {"address": "a"}, 0), stub_http.flush)
-    sending = send_order(clock, store, OnePool(handler), "e1", "adapter", "nl-legal")
+    sending = send_order(clock, store, SingleHandlerPool(handler), "e1", "adapter", "nl-legal")
     for _ in range(5):
         stub_http.flush()
     assert result_of(sending, stub_http.flush) == 1
--- a/tests/orders/test_orders_machine.py
+++ b/tests/orders/test_orders_machine.py
@@ -1,8 +1,8 @@
-"""A hypothesis state machine: orders from racing, pausing issuers to an engine that checks nothing.
+"""A hypothesis state machine: orders from concurrent issuers to an engine without fencing.
 
-Rules: an issuer takes a number (and may then pause for as long as it likes), an issued order is
-sent or sent again, the sidecar restarts, the store answers slowly, is down or loses
-acknowledgements. Invariant: the numbers of the orders the engine applied never go back.
+Rules: an issuer obtains a fencing number, an issued order is sent or sent again (possibly much
+later), the sidecar restarts, the store answers slowly, is down or loses acknowledgements.
+Invariant: the fencing numbers of the orders that the engine applies never decrease.
 """
 
 from hypothesis import settings
@@ -33,17 +33,17 @@
         self.sidecar_restarts()
 
     def order(self, kind, target, fencing):
-        """The engine's part: it ignores fencing numbers."""
+        """Apply an order as an engine that ignores fencing numbers."""
         self.applied.append(fencing)
         return defer.succeed(True)
 
     @rule()
     def sidecar_restarts(self):
-        # The old process is gone: what it had under way reaches no engine any more.
+        # The old process is gone: its pending calls no longer reach the engine.
         self.handler = SidecarHandler("e1", _Engine(self), self.store, self.clock)
 
     @rule(fault=st.sampled_from([None, None, None, "outage", "lose_acks"]))
-    def issuer_takes_a_number(self, fault):
+    def issuer_obtains_a_number(self, fault):
         if fault:
             setattr(self.store_app.faults, fault, 1)
         issue_order(self.store, "e1").addCallbacks(self.issued.append, lambda _: None)
@@ -52,7 +52,7 @@
 
     @rule(data=st.data(), delay=st.sampled_from([0.0, 0.0, 2.0]), down=st.sampled_from([0, 0, 1]))
     def order_is_sent(self, data, delay, down):
-        """Send an order; the store answers the sidecar's check after ``delay``, or not at all."""
+        """Send an order; the store answers the sidecar's check after ``delay``, or is down."""
         if self.issued:
             self.store_app.faults.delay = delay
             self.store_app.faults.outage = down
@@ -67,12 +67,12 @@
         self.http.flush()
 
     @invariant()
-    def applied_orders_never_go_back(self):
+    def applied_fencing_numbers_never_decrease(self):
         assert check_versions(getattr(self, "applied", [])) == []
 
 
 class _Engine:
-    """An engine's client that dies with the sidecar it belongs to."""
+    """A sidecar's engine client; it reaches the engine only until the sidecar restarts."""
 
     def __init__(self, machine):
         self.machine = machine
