--- a/src/guavacleat/store/dialect.py
+++ b/src/guavacleat/store/dialect.py
@@ -1,4 +1,4 @@
-"""The product's own form of the object API: paths, bodies and answers."""
+"""The native wire format of the object API: paths, requests and responses."""
 
 from guavacleat.store.messages import StoredObject, WatchBatch
 
@@ -14,7 +14,7 @@
         return f"/v1/objects/{kind}/{name}"
 
     def list_path(self, kind: str, after: str | None) -> str:
-        """This form has no paging: ``after`` is always None."""
+        """The path of a listing; it has no paging, so ``after`` is always None."""
         del after
         return f"/v1/objects/{kind}"
 
@@ -34,7 +34,7 @@
         return body["current_version"]
 
     def decode_listing(self, kind: str, body: dict):
-        """Return a :class:`WatchBatch` and the name to go on after, None at the end."""
+        """Return a :class:`WatchBatch` and the name after which the next page starts, or None."""
         return self.decode_changes(kind, body), None
 
     def decode_changes(self, kind: str, body: dict) -> WatchBatch:
--- a/src/guavacleat/store/messages.py
+++ b/src/guavacleat/store/messages.py
@@ -1,11 +1,11 @@
-"""Messages and error kinds of the object API, shared by its client and its stand-in."""
+"""Messages and errors of the object API, shared by its client and its stand-in."""
 
 from guavacleat.errors import StoreError
 
 __all__ = [
     "ChangesTooLargeError",
     "ConflictError",
-    "FormerEraError",
+    "StaleEraError",
     "HistoryLostError",
     "Listing",
     "Revision",
@@ -14,18 +14,18 @@
     "WatchBatch",
 ]
 
-# ``expected_version`` that asks for the object not to exist yet.
+# The ``expected_version`` of an object that must not exist yet.
 MUST_NOT_EXIST = 0
-# What the store takes as one object.
-LARGEST_OBJECT_BYTES = 1 << 20
+# The store's size limit for one object.
+MAX_OBJECT_BYTES = 1 << 20
 
 
 class Revision(int):
-    """A number that a store gives to a change, with the store's era; the later era is the higher.
+    """A store's sequence number of a change, combined with the store's era in the high bits.
 
-    A store that comes back from an older copy counts its numbers on from the copy's and raises its
-    era. Both are packed into one integer, so that revisions compare, sort and travel as before; a
-    store without eras is in era 0, where a revision is the store's own number.
+    A store that is restored from an older copy continues from the copy's number and increments its
+    era. Both are packed into one integer, so that revisions compare and sort correctly. In era 0,
+    and for a store without eras, a revision equals the store's number.
     """
 
     NUMBER_BITS = 47
@@ -40,12 +40,12 @@
 
     @property
     def number(self) -> int:
-        """The store's own number, unique within the era."""
+        """The store's number, unique within the era."""
         return self - (self.era << self.NUMBER_BITS)
 
     @classmethod
     def parse(cls, text: str) -> "Revision":
-        """The reverse of ``str``; raise ValueError if ``text`` is none."""
+        """Parse the result of ``str``; raise ValueError if ``text`` is invalid."""
         era, dot, number = text.rpartition(".")
         return cls.of(int(era) if dot else 0, int(number))
 
@@ -60,10 +60,10 @@
     """One object as the store holds it.
 
     :param version: per-object version, 1 on creation, +1 on each update.
-    :param revision: store-wide sequence number of the write that made this version. Both are
-        plain numbers on the wire and a :class:`Revision` where the client hands them out.
+    :param revision: store-wide sequence number of the write that created this version. Both are
+        plain numbers on the wire and a :class:`Revision` in what the client returns.
     :param value: a JSON value, at most a megabyte encoded.
-    :param deleted: true in a watch's answer if the object is no more.
+    :param deleted: true in the response of a watch if the object was deleted.
     """
 
     __slots__ = ("kind", "name", "version", "revision", "value", "deleted")
@@ -99,26 +99,26 @@
 class Listing:
     """The pages of a listing that were read so far.
 
-    :param after: the name after which it goes on.
-    :param revision: the first page's: what changes while the later ones are read is then watched
-        for, where the last page's would skip it.
+    :param after: the name after which the next page starts.
+    :param revision: the revision of the first page. A watch from there also returns the changes
+        made while the later pages were read.
     """
 
     __slots__ = ("objects", "after", "revision")
 
     def __init__(self):
-        self.begin_anew()
+        self.reset()
 
-    def begin_anew(self) -> None:
-        """Forget what was read: the store came back from a copy meanwhile."""
+    def reset(self) -> None:
+        """Discard the pages: the store was restored from a copy meanwhile."""
         self.objects: list[StoredObject] = []
         self.after: str | None = None
         self.revision: int | None = None
 
     def add(self, page: WatchBatch, after: str | None) -> None:
-        """Take in the next page, unless a page of another era was read before."""
+        """Add the next page; start again if the pages before it are of another era."""
         if self.revision is not None and self.revision.era != page.revision.era:
-            self.begin_anew()
+            self.reset()
             return
         self.objects += page.objects
         self.after = after
@@ -127,45 +127,45 @@
 
 
 class ConflictError(StoreError):
-    """A conditional update lost: the object is at ``current_version``, not the one expected."""
+    """A conditional update failed: the object is at ``current_version``, not the expected one."""
 
     def __init__(self, kind: str, name: str, expected: int, current_version: int):
         super().__init__(
             f"{kind}/{name} is at version {current_version}, not {expected}.",
-            f"read version {current_version}, rebase the change on it and write again.",
+            f"read version {current_version}, apply the change to it and write again.",
         )
         self.current_version = current_version
 
 
 class StoreUnavailableError(StoreError):
-    """The store did not answer in time or answered with an outage; the write may have happened."""
+    """The store did not answer in time or reported an error; a write may have been applied."""
 
     def __init__(self, detail: str):
         super().__init__(
-            f"the object API did not answer: {detail}.",
-            "retry later; a write may have taken effect, so read before writing again.",
+            f"the object API is unavailable: {detail}.",
+            "retry later; a write may have been applied, so read the object before writing again.",
         )
 
 
-class FormerEraError(StoreUnavailableError):
-    """The store came back from a copy: what the call builds on, or its answer, is from before."""
+class StaleEraError(StoreUnavailableError):
+    """The store was restored from a copy: the request or the response is of an earlier era."""
 
 
 class HistoryLostError(StoreError):
-    """The store forgot the writes a watch asked for."""
+    """The store no longer holds the writes that a watch asked for."""
 
     def __init__(self, kind: str, since: int):
         super().__init__(
             f"the object API no longer holds the changes to {kind} after revision {since}.",
-            "list the objects afresh and watch from the listing's revision.",
+            "list the objects again and watch from the revision of the listing.",
         )
 
 
 class ChangesTooLargeError(StoreError):
-    """The writes that a watch asked for are more than it wanted to read."""
+    """The writes that a watch asked for exceed its size limit."""
 
     def __init__(self, kind: str, since: int):
         super().__init__(
-            f"the changes to {kind} after revision {since} are too large to be read one by one.",
-            "list the objects afresh: a listing holds each of them once.",
+            f"the changes to {kind} after revision {since} exceed the size limit of a watch.",
+            "list the objects again: a listing contains only the latest version of each.",
         )
--- a/src/guavacleat/store/watch.py
+++ b/src/guavacleat/store/watch.py
@@ -1,9 +1,9 @@
-"""A loop that mirrors one kind of object from the object API: list once, then watch.
+"""A loop that follows one kind of object in the object API: list once, then watch.
 
-A watch can fail (outage, timeout, lost answer); the loop then waits with backoff and watches
-again from the last revision it saw, so nothing is skipped. If the store has forgotten the history
-since then, the loop lists afresh. Callers see each object version at most once per change
-and must themselves ignore versions older than what they hold (see config.watch).
+If a watch fails (outage, timeout, lost response), the loop backs off and watches again from the
+last revision that it received, so that no change is skipped. If the store no longer holds the
+changes since then, the loop lists the objects again. Callers may receive older versions than they
+hold and must ignore them (see config.watch).
 """
 
 import random
@@ -14,7 +14,7 @@
 
 from guavacleat.store.client import WATCH_WAIT, StoreClient
 from guavacleat.store.messages import (
-    LARGEST_OBJECT_BYTES,
+    MAX_OBJECT_BYTES,
     ChangesTooLargeError,
     HistoryLostError,
     Listing,
@@ -23,31 +23,31 @@
 
 __all__ = ["RECOVERY_WAIT", "WatchLoop"]
 
-BACKOFF_FIRST = 0.2
-# Seconds that a watch waits after a failure. A store that swallows calls shows only by silence, and
-# a long watch sent just before its return would be given up long after it.
+BACKOFF_MIN = 0.2
+# Wait in seconds of a watch after a failure. It is short so that a call which the store never
+# answers times out soon after the store has recovered.
 RECOVERY_WAIT = 0.3
 BACKOFF_MAX = 5.0
-# A watch waits a random part of its time between this and 1: a change wakes those of all gateways
-# at once, and in step they would all be deaf for as long when the store falls silent.
+# Each watch waits for a random fraction, between this and 1, of its wait. A change answers the
+# watches of all gateways at once; without jitter they would all detect an outage equally late.
 MIN_WAIT_FRACTION = 0.6
-# A loop that rests looks this often whether it still may.
-REST_LOOK_SECONDS = 0.2
-# Where only the newest of each object counts, a watch reads what one object can need, with its
-# envelope. More holds several versions, each as long to read on a thin link as the last alone.
-NEWEST_BYTES = LARGEST_OBJECT_BYTES + 65536
+# Interval at which a suspended loop checks whether it may resume.
+SUSPENDED_CHECK_SECONDS = 0.2
+# Size limit of a watch's response if only the newest version of each object is needed: one object
+# with its envelope. A larger response contains several versions and is slow on a narrow link.
+MAX_CHANGES_BYTES = MAX_OBJECT_BYTES + 65536
 
 
 class WatchLoop:
     """Calls ``on_object(StoredObject)`` for every object of ``kind`` and every later change.
 
-    ``on_health(bool)`` hears after every attempt whether the store answered. ``pause()``
-    seconds pass between an answer and the next watch, which bounds the reads a busy kind costs:
-    without it every write to the kind wakes every watcher. ``on_listed(names)`` hears the names of
-    each whole listing, so that objects deleted unseen can be dropped. With ``newest_only`` versions
-    between two that are heard may be left out. ``on_revision(revision)`` hears after each answer up
-    to which revision everything was told. While ``is_suspended()`` is true no call is made;
-    ``advance()`` records a revision that was learned from peers meanwhile.
+    ``on_health(bool)`` is called after every attempt with whether the store answered. The loop
+    waits ``pause()`` seconds between a response and the next watch, which limits the number of
+    reads if a kind is written often. ``on_listed(names)`` is called with the names of each complete
+    listing, so that objects whose deletion was missed can be dropped. With ``newest_only``
+    intermediate versions may be skipped. ``on_revision(revision)`` is called after each response
+    with the revision up to which all changes were delivered. While ``is_suspended()`` is true no
+    call is made; ``advance()`` records a revision that was learned from peers meanwhile.
     """
 
     def __init__(
@@ -75,56 +75,56 @@
         self.on_listed = on_listed or (lambda names: None)
         self.backoff_max = backoff_max
         self.newest_only = newest_only
-        self.most_bytes = NEWEST_BYTES if newest_only else None
+        self.most_bytes = MAX_CHANGES_BYTES if newest_only else None
         self.on_revision = on_revision or (lambda revision: None)
         self.is_suspended = is_suspended
         self.suspended = False
         self.random = random.Random()
-        self.refused = 0
+        self.rejected_count = 0
         self.revision: int | None = None
         self.failures = 0
-        # Clock time of the last call.
+        # Clock time of the last call to the store.
         self.called_at = float("-inf")
         self.running = False
-        self._waiting = None
-        # Pages of a listing under way. Begun anew after each failure, a long one would never end
-        # while the store refuses some of its pages, as it does while all gateways list at once.
+        self._scheduled_call = None
+        # Pages of an unfinished listing. They are kept after a failure: a long listing that starts
+        # again each time would never finish while the store refuses some of its pages.
         self._listing = Listing()
 
     def start(self) -> None:
         self.running = True
-        self._next(0)
+        self._schedule(0)
 
     def stop(self) -> None:
         self.running = False
 
     def recheck(self) -> None:
-        """Look at once whether to rest any longer; something newer is known to exist.
+        """Check at once whether to stay suspended; a newer revision is known to exist.
 
-        Not after a failure: what is told again and again would be asked for as often.
+        Does nothing after a failure, so that repeated reports from peers do not bypass the backoff.
         """
-        if self.suspended and not self.failures and self._waiting.active():
+        if self.suspended and not self.failures and self._scheduled_call.active():
             if self.newest_only:
-                # A watch would bring the versions since the loop last asked one by one.
+                # A watch would return every version since the last call.
                 self.relist()
-            self._waiting.reset(0)
+            self._scheduled_call.reset(0)
 
     def advance(self, revision: int) -> None:
-        """Everything up to ``revision`` is known already."""
+        """Record that all changes up to ``revision`` are known."""
         if self.suspended and self.revision is not None:
             self.revision = max(revision, self.revision)
 
     def relist(self) -> None:
-        """Read the objects themselves next, not their changes."""
+        """List the objects with the next call instead of watching for changes."""
         self.revision = None
         self._listing = Listing()
 
-    def _next(self, delay: float) -> None:
+    def _schedule(self, delay: float) -> None:
         if self.running:
-            self._waiting = self.clock.callLater(delay, self._turn)
+            self._scheduled_call = self.clock.callLater(delay, self._run)
 
-    def _turn(self) -> None:
-        """Make the next call, unless the loop may rest; a first listing is always made."""
+    def _run(self) -> None:
+        """Make the next call unless the loop is suspended; the first listing is always made."""
         if not self.running:
             return
         suspended = self.revision is not None and self.is_suspended()
@@ -133,25 +133,24 @@
             log_message(message_type=message, kind=self.kind, revision=self.revision)
         self.suspended = suspended
         if suspended:
-            self._next(REST_LOOK_SECONDS)
+            self._schedule(SUSPENDED_CHECK_SECONDS)
             return
         self.called_at = self.clock.seconds()
-        self._once().addErrback(self._unforeseen)
+        self._call_store().addErrback(self._handle_unexpected)
 
-    def _unforeseen(self, failure) -> None:
-        # Left to end the loop, an answer of an unknown shape would make the daemon deaf to every
-        # later change; it is treated like no answer instead.
+    def _handle_unexpected(self, failure) -> None:
+        # An unexpected response must not end the loop, or later changes would be missed; it is
+        # handled like a missing response.
         log_message(message_type="watch:error", kind=self.kind, error=repr(failure.value))
-        self._failed(failure.value)
+        self._handle_failure(failure.value)
 
-    def _failed(self, error: Exception) -> None:
+    def _handle_failure(self, error: Exception) -> None:
         if not self.running:
-            # Cut short by the stop itself: nothing that it tells is news.
+            # The call was interrupted by stop().
             return
         self.failures += 1
         if self.failures.bit_count() == 1:
-            # The 1st, 2nd, 4th, 8th in a row: a watch that never succeeds again is told for as
-            # long as it lasts, and an outage of minutes takes ten lines.
+            # Log the 1st, 2nd, 4th, 8th ... consecutive failure, to limit the log of a long outage.
             log_message(
                 message_type="watch:failed",
                 kind=self.kind,
@@ -159,10 +158,10 @@
                 error=str(error),
             )
         self.on_health(False)
-        self._next(min(self.backoff_max, BACKOFF_FIRST * 2 ** min(self.failures, 8)))
+        self._schedule(min(self.backoff_max, BACKOFF_MIN * 2 ** min(self.failures, 8)))
 
     @defer.inlineCallbacks
-    def _once(self):
+    def _call_store(self):
         try:
             listing = self.revision is None
             if listing:
@@ -173,13 +172,13 @@
                     wait = min(self.wait, RECOVERY_WAIT)
                 batch = yield self.store.watch(self.kind, self.revision, wait, self.most_bytes)
         except HistoryLostError:
-            self._list_next("watch:history-lost")
+            self._relist("watch:history-lost")
             return
         except ChangesTooLargeError:
-            self._list_next("watch:many-versions")
+            self._relist("watch:many-versions")
             return
         except StoreUnavailableError as exc:
-            self._failed(exc)
+            self._handle_failure(exc)
             return
         if not self.running:
             return
@@ -190,24 +189,24 @@
         self.on_health(True)
         self.revision = max([batch.revision, self.revision or 0])
         for stored in batch.objects:
-            self._offer(stored)
+            self._deliver(stored)
         if listing:
             self.on_listed({stored.name for stored in batch.objects})
         self.on_revision(self.revision)
-        self._next(self.pause())
+        self._schedule(self.pause())
 
-    def _list_next(self, reason: str) -> None:
+    def _relist(self, reason: str) -> None:
         log_message(message_type=reason, kind=self.kind, since=self.revision)
         self.relist()
-        self._next(0)
+        self._schedule(0)
 
-    def _offer(self, stored) -> None:
-        # One object nobody can read (written by hand or by another release) must not end the
-        # loop: the daemon would silently stop hearing of every later change.
+    def _deliver(self, stored) -> None:
+        # An object that cannot be decoded (written by hand or by another release) must not end the
+        # loop, or later changes would be missed.
         try:
             self.on_object(stored)
-        except Exception as exc:  # noqa: BLE001 - whatever the object holds
-            self.refused += 1
+        except Exception as exc:  # noqa: BLE001 - any error in decoding the object
+            self.rejected_count += 1
             log_message(
                 message_type="watch:object-refused",
                 kind=self.kind,
--- a/tests/store/test_contract.py
+++ b/tests/store/test_contract.py
@@ -1,4 +1,4 @@
-"""Contract of the object API as the client sees it, with fault cases in a table."""
+"""Contract of the object API as seen by the client, also under faults."""
 
 import pytest
 from twisted.internet import defer
@@ -21,11 +21,7 @@
 
 
 def test_stale_write_names_current_version(store, stub_http):
-    """
-    Symptom: two operators apply from the same base version.
-    Sequence: both read version 1; the first writes; the second writes expecting 1.
-    Cause: the second must lose and learn the version to rebase on.
-    """
+    """Guards against a lost update when two operators write from the same base version."""
     result_of(store.put("config", "d", {"by": "first"}, 0), stub_http.flush)
     result_of(store.put("config", "d", {"by": "first"}, 1), stub_http.flush)
     with pytest.raises(ConflictError) as caught:
@@ -43,11 +39,7 @@
 
 @pytest.mark.parametrize("faults,took_effect", FAULTS)
 def test_write_under_fault_raises_unavailable(store, store_app, stub_http, faults, took_effect):
-    """
-    Symptom: a write raises, yet the object may have changed (lost acknowledgement).
-    Sequence: a fault is set; the client writes; the answer is refused or lost.
-    Cause: the platform may apply a write and lose its answer; callers must read back.
-    """
+    """Guards against reporting success or a conflict when the outcome of a write is unknown."""
     for field, value in faults.items():
         setattr(store_app.faults, field, value)
     with pytest.raises(StoreUnavailableError):
@@ -55,7 +47,7 @@
     assert (store_app.state.get("config", "d") is not None) is took_effect
 
 
-def test_watch_wakes_on_write_and_returns_changes_after_revision(store, stub_http, clock):
+def test_watch_returns_changes_after_revision_on_write(store, stub_http, clock):
     first = result_of(store.put("endpoints", "e1", {"n": 1}, 0), stub_http.flush)
     watching = store.watch("endpoints", first.revision, wait=5)
     stub_http.flush()
@@ -72,12 +64,8 @@
     assert result_of(watching, stub_http.flush).objects == []
 
 
-def test_watch_lists_afresh_when_the_store_forgot_its_history(store, store_app, stub_http, clock):
-    """
-    Symptom: after a long outage a gateway never hears of later changes.
-    Sequence: a watch waits at revision 1; the store forgets its history; e2 is written.
-    Cause: the loop went on asking from a revision the store could no longer answer.
-    """
+def test_watch_lists_again_when_the_store_lost_its_history(store, store_app, stub_http, clock):
+    """Guards against a loop that keeps watching from a revision which the store no longer holds."""
     result_of(store.put("endpoints", "e1", {"n": 1}, 0), stub_http.flush)
     seen = []
     loop = WatchLoop(clock, store, "endpoints", lambda s: seen.append(s.name), wait=1)
@@ -95,11 +83,7 @@
 
 
 def test_unreadable_object_does_not_end_the_watch(store, stub_http, clock):
-    """
-    Symptom: a daemon stops hearing of configuration changes, with nothing in its logs.
-    Sequence: somebody writes a config object without 'settings'; a good one follows.
-    Cause: the exception from the malformed object ended the watch loop.
-    """
+    """Guards against a malformed object whose exception silently ends the watch loop."""
     seen = []
     loop = WatchLoop(clock, store, "config", lambda s: seen.append(s.value["settings"]), wait=1)
     loop.start()
@@ -110,19 +94,15 @@
     for _ in range(2):
         clock.advance(1)
         stub_http.flush()
-    assert seen == ["good"] and loop.refused == 1
+    assert seen == ["good"] and loop.rejected_count == 1
 
 
-GARBLED = [(200, b"<html>"), (302, b"{}"), (400, b"{}"), (500, b"")]
+INVALID_RESPONSES = [(200, b"<html>"), (302, b"{}"), (400, b"{}"), (500, b"")]
 
 
-@pytest.mark.parametrize("status,body", GARBLED)
-def test_garbled_answer_is_no_answer(status, body):
-    """
-    Symptom: an endpoint's lease lapses for good though its sidecar is well.
-    Sequence: one renewal is answered by something that is not the object API's JSON.
-    Cause: the ValueError ended the renewal loop; only StoreUnavailableError is retried.
-    """
+@pytest.mark.parametrize("status,body", INVALID_RESPONSES)
+def test_invalid_response_raises_unavailable(status, body):
+    """Guards against ending a lease's renewal loop: only StoreUnavailableError is retried."""
 
     class Response:
         code = status
--- a/tests/store/test_stalled_answer.py
+++ b/tests/store/test_stalled_answer.py
@@ -1,4 +1,4 @@
-"""Answers of the object API that stop in the middle, as treq meets them."""
+"""Responses of the object API that stall, read through treq."""
 
 import pytest
 from treq.client import HTTPClient
@@ -18,7 +18,7 @@
 
 
 class Endpoints:
-    """Connects through the link, whatever the address."""
+    """An endpoint factory that connects through the link, whatever the address."""
 
     def __init__(self, reactor):
         self.reactor = reactor
@@ -39,24 +39,18 @@
     return StoreClient("http://store", http=http, dialect=PlatformDialect())
 
 
-def test_an_answer_that_takes_long_but_arrives_is_waited_for(client, link):
-    """
-    Symptom: a large object is never read over a thin link.
-    Sequence: its answer takes longer than a call's time-out; bytes arrive all the while.
-    Cause: a call's time must not end while its answer arrives.
-    """
+def test_a_slow_response_is_read_to_its_end(client, link):
+    """Guards against a call that times out while a large response is still arriving."""
     link.store.write("config", "main", LARGE)
     found = client.get("config", "main")
     link.run(CALL_TIMEOUT + 1)
     assert result_of(found).value == LARGE
 
 
-def test_an_answer_that_stops_in_the_middle_is_given_up(client, link):
-    """
-    Symptom: a gateway hears of no change any more, without a line in its log, until it is started
-    again.
-    Sequence: the store is cut off in the middle of an answer; no byte and no close ever comes.
-    Cause: treq's time-out ends with the answer's head, and nothing bounded the wait for its body.
+def test_a_stalled_response_times_out(client, link):
+    """Guards against waiting forever for the rest of a response.
+
+    treq's timeout covers only the response headers.
     """
     link.store.write("config", "main", LARGE)
     link.stall_after_bytes = 100_000
