--- a/src/guavacleat/quarantine/__init__.py
+++ b/src/guavacleat/quarantine/__init__.py
@@ -1,4 +1,4 @@
-"""Recognising requests that crash the endpoints that run them, and keeping them from more."""
+"""Detects requests that crash the endpoints that run them, and quarantines them."""
 
 from guavacleat.quarantine.fingerprint import fingerprint, format_fingerprint
 from guavacleat.quarantine.guard import Liveness, QuarantineGuard
--- a/src/guavacleat/quarantine/fingerprint.py
+++ b/src/guavacleat/quarantine/fingerprint.py
@@ -1,4 +1,4 @@
-"""What a request is recognised by when its caller sends it again, under another id."""
+"""Fingerprints, which identify a request that is sent again with another id."""
 
 import hashlib
 
@@ -8,7 +8,7 @@
 
 
 def fingerprint(*parts: bytes) -> int:
-    """A signed 64-bit hash of what a request asks for and for whom, without ids or deadlines."""
+    """A signed 64-bit hash of the parts of a request that do not change when it is sent again."""
     digest = hashlib.blake2b(digest_size=FINGERPRINT_BYTES)
     for part in parts:
         digest.update(b"%d:" % len(part))
@@ -17,13 +17,13 @@
 
 
 def format_fingerprint(value: int) -> str:
-    """As logs and operators write it: 16 hexadecimal digits."""
+    """Format a fingerprint as in logs: 16 hexadecimal digits."""
     return value.to_bytes(FINGERPRINT_BYTES, "big", signed=True).hex()
 
 
 def parse_fingerprint(text: str) -> int:
-    """The reverse of :func:`format_fingerprint`; raise ValueError if ``text`` is none."""
+    """Parse the result of :func:`format_fingerprint`; raise ValueError if ``text`` is invalid."""
     data = bytes.fromhex(text)
     if len(data) != FINGERPRINT_BYTES:
-        raise ValueError(f"{text!r} is no fingerprint of {FINGERPRINT_BYTES} bytes")
+        raise ValueError(f"{text!r} is not a fingerprint of {FINGERPRINT_BYTES} bytes")
     return int.from_bytes(data, "big", signed=True)
--- a/src/guavacleat/quarantine/guard.py
+++ b/src/guavacleat/quarantine/guard.py
@@ -1,8 +1,8 @@
-"""What forwarding asks and tells of requests that may crash endpoints.
+"""The interface between forwarding and the tracker of crashing requests.
 
-A connection that breaks off does not say whether the endpoint ended or only spoilt one answer. So
-the endpoint is tried at once, see :class:`Liveness`. Where that does not tell, membership decides:
-an endpoint that is removed soon after, or started again, and had not said that it leaves, crashed.
+A lost connection does not show whether the endpoint crashed or only failed one response, so the
+endpoint is probed at once, see :class:`Liveness`. If the probe is inconclusive, membership decides:
+an endpoint that is removed or restarted soon after without having announced it has crashed.
 """
 
 import enum
@@ -15,12 +15,12 @@
 
 __all__ = ["Liveness", "QuarantineGuard"]
 
-# A crashed endpoint's entry lapses some heartbeats later.
-CONFIRM_SECONDS = 4.0
+# Covers the heartbeats after which the entry of a crashed endpoint expires.
+CONFIRM_TIMEOUT_SECONDS = 4.0
 
 
 class Liveness(enum.Enum):
-    """What trying an endpoint on which a request broke off says."""
+    """The result of probing an endpoint that interrupted a request."""
 
     ENDED = "its process is gone"
     ALIVE = "it answers"
@@ -28,85 +28,87 @@
 
 
 class QuarantineGuard:
-    """Tells forwarding how to treat a request, and the :class:`CrashTracker` how it ended.
+    """Decides how forwarding handles a request, and reports outcomes to the tracker.
 
-    Requests are anything with a ``content_key``, their fingerprint; endpoints are named by their
-    ids, times are the clock's.
+    A request is any object with a ``content_key``, its fingerprint; endpoints are identified by
+    their ids; times are clock times.
 
-    :param probe: coroutine function that tries an endpoint and returns its :class:`Liveness`.
+    :param probe: coroutine function that probes an endpoint and returns its :class:`Liveness`.
     """
 
-    def __init__(self, clock, book: CrashTracker, probe):
+    def __init__(self, clock, tracker: CrashTracker, probe):
         self.clock = clock
-        self.book = book
+        self.tracker = tracker
         self.probe = probe
-        # Ends that are not confirmed yet, by endpoint id.
-        self._open_by_endpoint: dict[str, EndpointCrash] = {}
+        # Crashes that are not confirmed yet, by endpoint id.
+        self._unconfirmed_by_endpoint: dict[str, EndpointCrash] = {}
 
     def status(self, request) -> QuarantineStatus:
-        """How the request is treated now."""
-        if not self.book.crashes_by_fingerprint:
+        """How the request must be handled now."""
+        if not self.tracker.crashes_by_fingerprint:
             return QuarantineStatus(QuarantineState.FREE)
-        return self.book.status(request.content_key)
+        return self.tracker.status(request.content_key)
 
     def is_unrestricted(self, request) -> bool:
-        """Whether the request may run anywhere, whatever else runs there."""
+        """Whether the request may run on any endpoint, whatever else runs there."""
         return self.status(request).state is QuarantineState.FREE
 
     def request_sent(self, request, endpoint: str) -> None:
-        """The request is sent to the endpoint of this id."""
+        """Record that the request is sent to an endpoint."""
         if self.status(request).state is QuarantineState.ISOLATED:
-            self.book.begin_trial(request.content_key, endpoint)
+            self.tracker.begin_trial(request.content_key, endpoint)
 
     def run_finished(self, request) -> None:
-        """The request's run on an endpoint is over, whatever its end."""
-        if self.book.trials_by_fingerprint:
-            self.book.end_trial(request.content_key)
+        """Record that the request's run on an endpoint is over, whatever its outcome."""
+        if self.tracker.trials_by_fingerprint:
+            self.tracker.end_trial(request.content_key)
 
     def request_completed(self, request) -> None:
-        """An endpoint ran the request to its end and lives."""
-        if self.book.crashes_by_fingerprint:
-            self.book.request_completed(request.content_key)
+        """Record that an endpoint completed the request and is alive."""
+        if self.tracker.crashes_by_fingerprint:
+            self.tracker.request_completed(request.content_key)
 
-    def request_interrupted(self, request, endpoint: str, began: float) -> None:
-        """The request was broken off by the endpoint, not by this gateway or the caller.
+    def request_interrupted(self, request, endpoint: str, sent_at: float) -> None:
+        """Record that the endpoint, not this gateway or the caller, interrupted the request.
 
-        :param began: clock time at which it was sent there.
+        :param sent_at: clock time at which the request was sent.
         """
-        end = self.book.request_interrupted(endpoint, request.content_key, began)
-        if end.confirmed or self._open_by_endpoint.get(endpoint) is end:
+        crash = self.tracker.request_interrupted(endpoint, request.content_key, sent_at)
+        if crash.confirmed or self._unconfirmed_by_endpoint.get(endpoint) is crash:
             return
-        self._open_by_endpoint[endpoint] = end
-        self.clock.callLater(CONFIRM_SECONDS, self._settle, endpoint, end, Liveness.ALIVE)
-        trying = defer.Deferred.fromCoroutine(self._try(endpoint, end))
-        trying.addErrback(self._note_error)
+        self._unconfirmed_by_endpoint[endpoint] = crash
+        self.clock.callLater(
+            CONFIRM_TIMEOUT_SECONDS, self._resolve, endpoint, crash, Liveness.ALIVE
+        )
+        probing = defer.Deferred.fromCoroutine(self._probe_endpoint(endpoint, crash))
+        probing.addErrback(self._note_error)
 
     def endpoint_removed(self, endpoint: str, announced: bool) -> None:
-        """Membership has removed or restarted an endpoint.
+        """Record that membership has removed an endpoint or seen it restart.
 
-        :param announced: whether it had said that it leaves: then it did not crash.
+        :param announced: whether the endpoint had announced it; then it did not crash.
         """
-        end = self._open_by_endpoint.get(endpoint)
-        if end is not None:
-            self._settle(endpoint, end, Liveness.ALIVE if announced else Liveness.ENDED)
+        crash = self._unconfirmed_by_endpoint.get(endpoint)
+        if crash is not None:
+            self._resolve(endpoint, crash, Liveness.ALIVE if announced else Liveness.ENDED)
 
     def trial_endpoints(self) -> set[str]:
-        """Ids of endpoints that a trial may end: nothing else should begin there."""
-        return {trial.endpoint for trial in self.book.trials()}
+        """Ids of the endpoints with an active trial: no other request should start there."""
+        return {trial.endpoint for trial in self.tracker.trials()}
 
-    async def _try(self, endpoint: str, end: EndpointCrash) -> None:
-        found = await self.probe(endpoint)
-        if found is not Liveness.UNKNOWN:
-            self._settle(endpoint, end, found)
+    async def _probe_endpoint(self, endpoint: str, crash: EndpointCrash) -> None:
+        liveness = await self.probe(endpoint)
+        if liveness is not Liveness.UNKNOWN:
+            self._resolve(endpoint, crash, liveness)
 
-    def _settle(self, endpoint: str, end: EndpointCrash, found: Liveness) -> None:
-        if self._open_by_endpoint.get(endpoint) is not end:
+    def _resolve(self, endpoint: str, crash: EndpointCrash, liveness: Liveness) -> None:
+        if self._unconfirmed_by_endpoint.get(endpoint) is not crash:
             return
-        del self._open_by_endpoint[endpoint]
-        if found is Liveness.ENDED:
-            self.book.confirm(end)
+        del self._unconfirmed_by_endpoint[endpoint]
+        if liveness is Liveness.ENDED:
+            self.tracker.confirm(crash)
         else:
-            self.book.discard(end)
+            self.tracker.discard(crash)
 
     def _note_error(self, failure) -> None:
         log_message(message_type="quarantine:error", error=failure.getTraceback())
--- a/src/guavacleat/quarantine/messages.py
+++ b/src/guavacleat/quarantine/messages.py
@@ -1,4 +1,4 @@
-"""What is known of endpoints that ended and of the requests that ran there; typed."""
+"""Data types for crashes of endpoints and for the requests in flight at them."""
 
 import enum
 
@@ -6,15 +6,15 @@
 
 
 class EndpointCrash:
-    """One unplanned end of an endpoint, and the requests that it broke off.
+    """One crash of an endpoint, and the requests that it interrupted.
 
-    :param endpoint: the endpoint's id; one that starts again under its id ends more than once.
-    :param at: clock time of the end.
-    :param fingerprints: of the requests in flight there.
+    :param endpoint: the endpoint's id; one that restarts under the same id can crash repeatedly.
+    :param at: clock time of the crash.
+    :param fingerprints: the fingerprints of the requests in flight.
     :param confirmed: false while the endpoint may still turn out to be alive.
-    :param restored: true if it stands for an end that a record in the store counts.
-    :ivar learned_at: clock time at which this gateway last learnt something of it.
-    :ivar observed_locally: true if a request of this gateway was in flight there.
+    :param restored: true if it was restored from the record in the store.
+    :ivar updated_at: clock time of the last update at this gateway.
+    :ivar observed_locally: true if a request of this gateway was in flight.
     """
 
     __slots__ = (
@@ -23,7 +23,7 @@
         "fingerprints",
         "confirmed",
         "restored",
-        "learned_at",
+        "updated_at",
         "observed_locally",
     )
 
@@ -40,14 +40,14 @@
         self.fingerprints: set[int] = set(fingerprints)
         self.confirmed = confirmed
         self.restored = restored
-        self.learned_at = at
+        self.updated_at = at
         self.observed_locally = False
 
 
 class Trial:
-    """A suspected request that runs, apart from others, to see whether it crashes ``endpoint``.
+    """An isolated run of a suspected request, to see whether it crashes ``endpoint``.
 
-    :param at: clock time of its begin.
+    :param at: clock time of the start.
     :param own: whether this gateway runs it.
     """
 
@@ -61,18 +61,18 @@
 
 
 class Clearance:
-    """A suspected request ran to its end at clock time ``at``: earlier ends are not its doing."""
+    """A request completed at clock time ``at``, which clears it of all earlier crashes."""
 
-    __slots__ = ("fingerprint", "at", "learned_at")
+    __slots__ = ("fingerprint", "at", "updated_at")
 
-    def __init__(self, fingerprint: int, at: float, learned_at: float):
+    def __init__(self, fingerprint: int, at: float, updated_at: float):
         self.fingerprint = fingerprint
         self.at = at
-        self.learned_at = learned_at
+        self.updated_at = updated_at
 
 
 class QuarantineState(enum.Enum):
-    """How a request is treated."""
+    """How a request must be handled."""
 
     FREE = "free"
     ISOLATED = "only where little else runs"
@@ -80,10 +80,10 @@
 
 
 class QuarantineStatus:
-    """How a request is treated now.
+    """How a request must be handled now.
 
-    :param crashes: ends of endpoints that are put down to it.
-    :param retry_after: seconds after which one that is refused may come back.
+    :param crashes: the number of crashes attributed to it.
+    :param retry_after: seconds after which a refused request may be retried.
     """
 
     __slots__ = ("state", "crashes", "retry_after")
@@ -100,5 +100,5 @@
         return self.crashes >= QUARANTINE_CRASHES
 
 
-# Ends of endpoints after which a request is refused: fewer happen to sound ones by chance.
+# Number of crashes from which a request is refused.
 QUARANTINE_CRASHES = 3
--- a/src/guavacleat/quarantine/record.py
+++ b/src/guavacleat/quarantine/record.py
@@ -1,7 +1,7 @@
-"""The requests that are refused, kept in the store for gateways that all start at once.
+"""The quarantined requests, kept in the store for a restart of all gateways at once.
 
-Peers tell a gateway that starts what they know. Where all were lost together nobody is left to
-tell, and the same request would end three more endpoints. One object holds the newest convictions.
+A gateway that starts learns the quarantined requests from its peers. If all gateways were lost at
+once, the same request would crash more endpoints, so one object in the store holds the latest ones.
 """
 
 import random
@@ -18,49 +18,49 @@
 
 RECORD_KIND = "quarantine"
 RECORD_NAME = "requests"
-# By then a gateway knows its peers: a few read, and tell the others.
-READ_AFTER_SECONDS = (1.0, 2.0)
-# Newest convictions that are read.
-REQUESTS_RESTORED = 64
+# By then a gateway knows its peers; only a few of them read the record.
+READ_DELAY_SECONDS = (1.0, 2.0)
+# Number of latest requests that are restored.
+MAX_RESTORED_REQUESTS = 64
 RETRY_SECONDS = 2.0
-# Convictions of one crash are written together.
-GATHER_SECONDS = 0.2
-# Newest convictions in the record, some 25 bytes each.
-REQUESTS_KEPT = 256
+# Changes within this time are written together.
+BATCH_SECONDS = 0.2
+# Number of latest requests in the record.
+MAX_STORED_REQUESTS = 256
 
 
 class QuarantineRecord:
-    """Reads the record once after the start, and writes what this gateway convicts or clears.
+    """Reads the record once after the start, and writes what this gateway quarantines or clears.
 
-    :param is_reader: returns whether reading is this gateway's task.
+    :param is_reader: returns whether this gateway must read the record.
     """
 
-    def __init__(self, clock, store, book: CrashTracker, is_reader):
+    def __init__(self, clock, store, tracker: CrashTracker, is_reader):
         self.is_reader = is_reader
         self.clock = clock
         self.store = store
-        self.book = book
+        self.tracker = tracker
         self.stopped = False
-        # Ends by fingerprint still to be written; None for a request to be taken out.
+        # Crashes by fingerprint that are still to be written; None to remove a request.
         self._changes: dict[int, int | None] = {}
         self._writing = False
-        book.on_quarantined = self.quarantined
-        book.on_cleared = self.cleared
+        tracker.on_quarantined = self.quarantined
+        tracker.on_cleared = self.cleared
 
     def start(self) -> None:
-        self.clock.callLater(random.uniform(*READ_AFTER_SECONDS), self._begin, self._read)
+        self.clock.callLater(random.uniform(*READ_DELAY_SECONDS), self._start_task, self._read)
 
     def stop(self) -> None:
         self.stopped = True
 
     def store_restored(self) -> None:
-        """The store came back from a copy: write again what it may have lost."""
+        """Write again what a restored store may have lost."""
         if self.is_reader():
-            for fingerprint in self.book.quarantined_fingerprints():
+            for fingerprint in self.tracker.quarantined_fingerprints():
                 self.quarantined(fingerprint)
 
     def quarantined(self, fingerprint: int) -> None:
-        self._change(fingerprint, int(self.book.crash_count(fingerprint)))
+        self._change(fingerprint, int(self.tracker.crash_count(fingerprint)))
 
     def cleared(self, fingerprint: int) -> None:
         self._change(fingerprint, None)
@@ -69,9 +69,9 @@
         self._changes[fingerprint] = crashes
         if not self._writing:
             self._writing = True
-            self.clock.callLater(GATHER_SECONDS, self._begin, self._write)
+            self.clock.callLater(BATCH_SECONDS, self._start_task, self._write)
 
-    def _begin(self, work) -> None:
+    def _start_task(self, work) -> None:
         if not self.stopped:
             defer.Deferred.fromCoroutine(work()).addErrback(self._note_error)
 
@@ -82,17 +82,17 @@
             stored = await self.store.get(RECORD_KIND, RECORD_NAME)
         except StoreUnavailableError as exc:
             log_message(message_type="quarantine:not-read", error=str(exc))
-            self.clock.callLater(RETRY_SECONDS, self._begin, self._read)
+            self.clock.callLater(RETRY_SECONDS, self._start_task, self._read)
             return
         counts_by_fingerprint = _decode(stored)
-        newest = list(counts_by_fingerprint.items())[-REQUESTS_RESTORED:]
+        newest = list(counts_by_fingerprint.items())[-MAX_RESTORED_REQUESTS:]
         for fingerprint, crashes in newest:
-            self.book.restore(fingerprint, crashes)
+            self.tracker.restore(fingerprint, crashes)
         if counts_by_fingerprint:
             log_message(message_type="quarantine:restored", requests=len(counts_by_fingerprint))
 
     async def _write(self) -> None:
-        """Bring the changes into what the store holds, until it has them."""
+        """Merge the changes into the stored record; retry until that succeeds."""
         changes, self._changes = self._changes, {}
         try:
             stored = await self.store.get(RECORD_KIND, RECORD_NAME)
@@ -103,7 +103,7 @@
             log_message(message_type="quarantine:not-written", error=str(exc))
             self._changes = {**changes, **self._changes}
             delay = random.uniform(0.0, RETRY_SECONDS)
-            self.clock.callLater(delay, self._begin, self._write)
+            self.clock.callLater(delay, self._start_task, self._write)
             return
         self._writing = False
         if self._changes:
@@ -114,13 +114,13 @@
 
 
 def _merged(stored: dict[int, int], changes: dict[int, int | None]) -> dict[int, int]:
-    """What the record shall hold, the newest last."""
+    """The new content of the record, latest last."""
     kept = dict(stored)
     for fingerprint, crashes in changes.items():
         before = kept.pop(fingerprint, 0)
         if crashes is not None:
             kept[fingerprint] = max(before, crashes)
-    return dict(list(kept.items())[-REQUESTS_KEPT:])
+    return dict(list(kept.items())[-MAX_STORED_REQUESTS:])
 
 
 def _encode(counts_by_fingerprint: dict[int, int]) -> dict:
@@ -129,7 +129,7 @@
 
 
 def _decode(stored) -> dict[int, int]:
-    """The record's ends by fingerprint; what cannot be read is left out."""
+    """The number of crashes by fingerprint; empty if the record cannot be decoded."""
     named = stored.value.get("crashes", {}) if stored is not None else {}
     try:
         return {parse_fingerprint(name): int(crashes) for name, crashes in named.items()}
--- a/src/guavacleat/quarantine/tracker.py
+++ b/src/guavacleat/quarantine/tracker.py
@@ -1,12 +1,12 @@
-"""Which requests crash the endpoints that run them, judged by the ends of endpoints.
+"""Identifies the requests that crash endpoints from what was in flight at each crash.
 
-One end says little: everything that ran there was in flight. What was in flight at several ends of
-different endpoints is suspected, runs apart from others and one at a time, and is refused after the
-third. A refusal holds for a time that grows with each further end; then the request is tried once.
+A single crash does not show which of the requests in flight caused it. A request that was in flight
+at several crashes is suspected: it runs isolated from others and only once at a time. After the
+third crash it is refused for a time that grows with each further crash, and is then tried once.
 
-Sound requests are kept out of it in three ways. One that runs to its end is cleared of the ends
-before. An end that a more frequent request explains is not counted against others. Where several
-endpoints end together that had no request in common (power, a rack), an end counts half.
+Three rules protect harmless requests. A request that completes is cleared of all earlier crashes.
+A crash is not counted against a request if another one explains it better. If several endpoints
+without a request in common crash at the same time (power, a rack), each crash counts half.
 """
 
 import collections
@@ -27,37 +27,37 @@
 
 __all__ = ["CrashTracker"]
 
-# From so many ends on a request runs apart from others, one at a time.
-SUSPECTING_CRASHES = 2
-# How long a request is refused after its third end, and after each further one: few trials in all.
+# Number of crashes from which a request runs isolated from others, one at a time.
+SUSPECT_CRASHES = 2
+# How long a request is refused after its third crash, and after each further one.
 QUARANTINE_SECONDS = (2.0, 60.0, 600.0, 21600.0)
-# A trial that has ended the endpoint by then will not, or nobody will tell.
-TRIAL_SECONDS = 5.0
-RETRY_AFTER_TRIAL = 1.0
-# What several gateways and connections tell of one end arrives within so long.
-SAME_END_SECONDS = 0.8
-# Ends of other endpoints so near in time, and so many, have a cause in common.
-COMMON_SECONDS = 1.0
-COMMON_ENDS = 2
-COMMON_WEIGHT = 0.5
-# A request that was in flight at one end is suspected for so long.
-MEMORY_SECONDS = 600.0
-# Bounds of memory: so many ends with so many requests each are a few megabytes.
+# A trial that has not crashed its endpoint by then is considered over.
+TRIAL_TIMEOUT_SECONDS = 5.0
+TRIAL_RETRY_SECONDS = 1.0
+# Reports about one endpoint that are closer than this in time are about the same crash.
+SAME_CRASH_SECONDS = 0.8
+# A crash counts less if at least this many others, without the request, are within the window.
+CORRELATION_WINDOW_SECONDS = 1.0
+MIN_CORRELATED_CRASHES = 2
+CORRELATED_CRASH_WEIGHT = 0.5
+# How long a crash without suspects is remembered.
+CRASH_RETENTION_SECONDS = 600.0
+# Limits on memory.
 MAX_CRASHES = 256
 MAX_FINGERPRINTS_PER_CRASH = 32
 MAX_CLEARANCES = 1024
 
 
 class CrashTracker:
-    """Ends of endpoints and what was in flight there, as far as this gateway knows.
+    """The crashes of endpoints that this gateway knows, and the requests in flight at each.
 
-    Requests are named by their fingerprints. Times are the clock's; seconds.
+    Requests are identified by their fingerprints. Times are clock times in seconds.
 
-    :ivar on_local_change: called when this gateway saw something to tell peers.
-    :ivar on_remote_change: called when it learnt something new from a peer.
-    :ivar on_quarantined: called with a request that an end seen here makes one that is refused.
-    :ivar on_cleared: called with such a request when it ran to its end here.
-    :ivar changed_at: time at which there was last something to tell.
+    :ivar on_local_change: called when this gateway observed something to report to peers.
+    :ivar on_remote_change: called when a peer reported something new.
+    :ivar on_quarantined: called with a request that a crash observed here put into quarantine.
+    :ivar on_cleared: called with a quarantined request that completed here.
+    :ivar changed_at: time of the last change, local or remote.
     """
 
     def __init__(self, clock: IReactorTime):
@@ -76,111 +76,111 @@
         )
 
     def status(self, fingerprint: int) -> QuarantineStatus:
-        """How a request with this fingerprint is treated now."""
+        """How a request with this fingerprint must be handled now."""
         if fingerprint not in self.crashes_by_fingerprint:
             return QuarantineStatus(QuarantineState.FREE)
-        crashes = self._crash_count(fingerprint)
-        if crashes < SUSPECTING_CRASHES:
-            return QuarantineStatus(QuarantineState.FREE, crashes)
+        count = self._crash_count(fingerprint)
+        if count < SUSPECT_CRASHES:
+            return QuarantineStatus(QuarantineState.FREE, count)
         now = self.clock.seconds()
         if self._trial(fingerprint) is not None:
-            wait = max(RETRY_AFTER_TRIAL, self._refused_until(fingerprint, crashes) - now)
-            return QuarantineStatus(QuarantineState.REFUSED, crashes, wait)
-        wait = self._refused_until(fingerprint, crashes) - now
+            wait = max(TRIAL_RETRY_SECONDS, self._refused_until(fingerprint, count) - now)
+            return QuarantineStatus(QuarantineState.REFUSED, count, wait)
+        wait = self._refused_until(fingerprint, count) - now
         if wait > 0:
-            return QuarantineStatus(QuarantineState.REFUSED, crashes, wait)
-        return QuarantineStatus(QuarantineState.ISOLATED, crashes)
+            return QuarantineStatus(QuarantineState.REFUSED, count, wait)
+        return QuarantineStatus(QuarantineState.ISOLATED, count)
 
     def quarantined_fingerprints(self) -> list[int]:
-        """Fingerprints of the requests that are refused, or are after another end."""
+        """Fingerprints of the requests with enough crashes to be refused, also between refusals."""
         return [
             fingerprint
-            for fingerprint, ends in self.crashes_by_fingerprint.items()
-            if len(ends) >= QUARANTINE_CRASHES
+            for fingerprint, crashes in self.crashes_by_fingerprint.items()
+            if len(crashes) >= QUARANTINE_CRASHES
             and self._crash_count(fingerprint) >= QUARANTINE_CRASHES
         ]
 
     def crash_count(self, fingerprint: int) -> float:
-        """Ends that are put down to the request."""
+        """Number of crashes attributed to the request."""
         return self._crash_count(fingerprint) if fingerprint in self.crashes_by_fingerprint else 0.0
 
     def request_interrupted(
-        self, endpoint: str, fingerprint: int, began: float = float("-inf")
+        self, endpoint: str, fingerprint: int, sent_at: float = float("-inf")
     ) -> EndpointCrash:
-        """A request of this gateway was broken off at ``endpoint``, which may have ended.
+        """Record that ``endpoint`` interrupted a request of this gateway and may have crashed.
 
-        :param began: clock time at which it was sent there; an earlier end is another one.
+        :param sent_at: clock time at which the request was sent; earlier crashes do not match.
         """
         now = self.clock.seconds()
-        end = self._find(endpoint, now, began=began)
-        if end is None:
-            end = self._add(EndpointCrash(endpoint, now, confirmed=False))
-        end.observed_locally = True
-        self._charge(end, fingerprint)
-        if end.confirmed:
-            self._seen(end)
-        return end
-
-    def confirm(self, end: EndpointCrash) -> None:
-        """The endpoint has ended."""
-        if end.confirmed or end not in self.endpoint_crashes:
+        crash = self._find(endpoint, now, sent_at=sent_at)
+        if crash is None:
+            crash = self._add(EndpointCrash(endpoint, now, confirmed=False))
+        crash.observed_locally = True
+        self._add_fingerprint(crash, fingerprint)
+        if crash.confirmed:
+            self._record_local_crash(crash)
+        return crash
+
+    def confirm(self, crash: EndpointCrash) -> None:
+        """Record that the endpoint has crashed."""
+        if crash.confirmed or crash not in self.endpoint_crashes:
             return
-        end.confirmed = True
+        crash.confirmed = True
         log_message(
             message_type="endpoint:crashed",
-            endpoint=end.endpoint,
-            requests=len(end.fingerprints),
-            suspects=self._suspects(end),
+            endpoint=crash.endpoint,
+            requests=len(crash.fingerprints),
+            suspects=self._format_suspects(crash),
         )
-        self._seen(end)
+        self._record_local_crash(crash)
 
-    def discard(self, end: EndpointCrash) -> None:
-        """The endpoint lives: what broke off there says nothing of the requests."""
-        if not end.confirmed and end in self.endpoint_crashes:
-            self._drop(end)
+    def discard(self, crash: EndpointCrash) -> None:
+        """Discard an unconfirmed crash: the endpoint is alive."""
+        if not crash.confirmed and crash in self.endpoint_crashes:
+            self._remove(crash)
 
     def merge_crash(self, endpoint: str, age: float, fingerprints, restored: bool = False) -> None:
-        """Take in what a peer knows of an end ``age`` seconds ago."""
+        """Merge a peer's report of a crash ``age`` seconds ago."""
         at = self.clock.seconds() - age
-        end = self._find(endpoint, at, restored)
-        if end is None:
-            end = self._add(EndpointCrash(endpoint, at, restored=restored))
-        news = not end.confirmed
-        end.confirmed = True
-        for fingerprint in set(fingerprints) - end.fingerprints:
-            news |= self._charge(end, fingerprint)
-        if news:
-            end.learned_at = self.clock.seconds()
-            self._end_trials(end)
-            self._changed(self.on_remote_change)
-
-    def restore(self, fingerprint: int, crashes: int) -> None:
-        """Take in that a record in the store counts ``crashes`` ends, of times that are unknown."""
-        missing = crashes - len(self.crashes_by_fingerprint.get(fingerprint, ()))
+        crash = self._find(endpoint, at, restored)
+        if crash is None:
+            crash = self._add(EndpointCrash(endpoint, at, restored=restored))
+        changed = not crash.confirmed
+        crash.confirmed = True
+        for fingerprint in set(fingerprints) - crash.fingerprints:
+            changed |= self._add_fingerprint(crash, fingerprint)
+        if changed:
+            crash.updated_at = self.clock.seconds()
+            self._end_trials(crash)
+            self._notify(self.on_remote_change)
+
+    def restore(self, fingerprint: int, count: int) -> None:
+        """Merge the number of crashes from the record in the store; their times are unknown."""
+        missing = count - len(self.crashes_by_fingerprint.get(fingerprint, ()))
         for number in range(missing):
             name = f"record:{format_fingerprint(fingerprint)}:{number}"
             self.merge_crash(name, 0.0, [fingerprint], restored=True)
 
     def request_completed(self, fingerprint: int) -> None:
-        """A request ran to its end here."""
+        """Record that a request of this gateway completed."""
         if fingerprint not in self.crashes_by_fingerprint:
             return
         quarantined = len(self.crashes_by_fingerprint[fingerprint]) >= QUARANTINE_CRASHES
         self._clear(fingerprint, self.clock.seconds())
-        self._changed(self.on_local_change)
+        self._notify(self.on_local_change)
         if quarantined:
             self.on_cleared(fingerprint)
 
     def merge_completion(self, fingerprint: int, age: float) -> None:
-        """A request ran to its end at a peer, ``age`` seconds ago."""
+        """Merge a peer's report that a request completed ``age`` seconds ago."""
         at = self.clock.seconds() - age
         known = self.clearances_by_fingerprint.get(fingerprint)
-        if known is None or at > known.at + SAME_END_SECONDS:
+        if known is None or at > known.at + SAME_CRASH_SECONDS:
             self._clear(fingerprint, at)
-            self._changed(self.on_remote_change)
+            self._notify(self.on_remote_change)
 
     def begin_trial(self, fingerprint: int, endpoint: str) -> None:
-        """A request that must run apart is sent to ``endpoint``."""
+        """Record that a request that must run isolated is sent to ``endpoint``."""
         trial = Trial(fingerprint, endpoint, self.clock.seconds(), own=True)
         self.trials_by_fingerprint[fingerprint] = trial
         log_message(
@@ -189,197 +189,211 @@
             endpoint=endpoint,
             crashes=self._crash_count(fingerprint),
         )
-        self._changed(self.on_local_change)
+        self._notify(self.on_local_change)
 
     def end_trial(self, fingerprint: int) -> None:
-        """What this gateway tried is over, one way or another."""
+        """Record that a trial of this gateway is over, whatever its outcome."""
         trial = self.trials_by_fingerprint.get(fingerprint)
         if trial is not None and trial.own:
             del self.trials_by_fingerprint[fingerprint]
 
     def merge_trial(self, fingerprint: int, endpoint: str, age: float) -> None:
-        """A peer began a trial ``age`` seconds ago."""
+        """Merge a peer's report of a trial that began ``age`` seconds ago."""
         at = self.clock.seconds() - age
         known = self._trial(fingerprint)
-        if known is not None or age >= TRIAL_SECONDS or self._ended_since(fingerprint, at):
+        if (
+            known is not None
+            or age >= TRIAL_TIMEOUT_SECONDS
+            or self._crashed_since(fingerprint, at)
+        ):
             return
         self.trials_by_fingerprint[fingerprint] = Trial(fingerprint, endpoint, at, own=False)
-        self._changed(self.on_remote_change)
+        self._notify(self.on_remote_change)
 
     def trials(self) -> list[Trial]:
-        """Trials under way, here and at peers."""
-        found = (self._trial(fingerprint) for fingerprint in list(self.trials_by_fingerprint))
-        return [trial for trial in found if trial is not None]
+        """Active trials of this gateway and its peers."""
+        active = (self._trial(fingerprint) for fingerprint in list(self.trials_by_fingerprint))
+        return [trial for trial in active if trial is not None]
 
     def recent_crashes(self, seconds: float, local_only: bool) -> list[EndpointCrash]:
-        """Confirmed ends of which something was learnt in the last ``seconds``, newest first."""
+        """Confirmed crashes updated in the last ``seconds``, newest first."""
         oldest = self.clock.seconds() - seconds
         return [
-            end
-            for end in reversed(self.endpoint_crashes)
-            if end.confirmed
-            and end.learned_at >= oldest
-            and (end.observed_locally or not local_only)
+            crash
+            for crash in reversed(self.endpoint_crashes)
+            if crash.confirmed
+            and crash.updated_at >= oldest
+            and (crash.observed_locally or not local_only)
         ]
 
     def quarantining_crashes(self) -> list[EndpointCrash]:
-        """Confirmed ends that are put down to a request which is refused."""
-        ends = itertools.chain.from_iterable(
+        """Confirmed crashes at which a quarantined request was in flight."""
+        crashes = itertools.chain.from_iterable(
             self.crashes_by_fingerprint[fingerprint]
             for fingerprint in self.quarantined_fingerprints()
         )
-        return [end for end in dict.fromkeys(ends) if end.confirmed]
+        return [crash for crash in dict.fromkeys(crashes) if crash.confirmed]
 
-    def most_suspected(self, end: EndpointCrash) -> list[int]:
-        """The requests of an end, those first that were in flight at most others."""
+    def most_suspected(self, crash: EndpointCrash) -> list[int]:
+        """The requests of a crash, sorted by the number of crashes they were in flight at."""
         return sorted(
-            end.fingerprints,
+            crash.fingerprints,
             key=lambda fingerprint: -len(self.crashes_by_fingerprint[fingerprint]),
         )
 
     def recent_clearances(self, seconds: float) -> list[Clearance]:
         oldest = self.clock.seconds() - seconds
         newest_first = reversed(self.clearances_by_fingerprint.values())
-        return list(itertools.takewhile(lambda known: known.learned_at >= oldest, newest_first))
+        return list(itertools.takewhile(lambda known: known.updated_at >= oldest, newest_first))
 
-    def _changed(self, tell) -> None:
+    def _notify(self, callback) -> None:
         self.changed_at = self.clock.seconds()
-        tell()
+        callback()
 
     def _crash_count(self, fingerprint: int) -> float:
-        """The weights of the ends that no other request explains better."""
-        blame = self._blame(fingerprint)
+        """The total weight of the crashes that no other request explains better."""
+        total_weight = self._total_weight(fingerprint)
         return sum(
-            self._weight(end, fingerprint)
-            for end in self.crashes_by_fingerprint[fingerprint]
-            if not self._is_explained(end, fingerprint, blame)
+            self._weight(crash, fingerprint)
+            for crash in self.crashes_by_fingerprint[fingerprint]
+            if not self._is_explained(crash, fingerprint, total_weight)
         )
 
-    def _blame(self, fingerprint: int) -> float:
-        """The weights of all ends at which the request was in flight."""
-        ends = self.crashes_by_fingerprint[fingerprint]
-        return sum(self._weight(end, fingerprint) for end in ends)
+    def _total_weight(self, fingerprint: int) -> float:
+        """The total weight of all crashes at which the request was in flight."""
+        crashes = self.crashes_by_fingerprint[fingerprint]
+        return sum(self._weight(crash, fingerprint) for crash in crashes)
 
-    def _is_explained(self, end: EndpointCrash, fingerprint: int, blame: float) -> bool:
-        """Whether the end is the doing of a request that is to blame for more of them."""
-        likely = (
+    def _is_explained(self, crash: EndpointCrash, fingerprint: int, total_weight: float) -> bool:
+        """Whether another request in flight at the crash has a higher total weight."""
+        suspects = (
             other
-            for other in end.fingerprints
+            for other in crash.fingerprints
             if other != fingerprint
             and len(self.crashes_by_fingerprint[other]) >= QUARANTINE_CRASHES
         )
-        return any(self._blame(other) >= max(QUARANTINE_CRASHES, blame + 1) for other in likely)
+        return any(
+            self._total_weight(other) >= max(QUARANTINE_CRASHES, total_weight + 1)
+            for other in suspects
+        )
 
-    def _weight(self, end: EndpointCrash, fingerprint: int) -> float:
-        """What an end counts against one of the requests in flight there."""
-        if end.restored:
+    def _weight(self, crash: EndpointCrash, fingerprint: int) -> float:
+        """The weight of a crash for one of the requests in flight at it."""
+        if crash.restored:
             return 1.0
-        beside = (
+        concurrent = (
             other
             for other in self.endpoint_crashes
             if not other.restored
-            and abs(other.at - end.at) <= COMMON_SECONDS
+            and abs(other.at - crash.at) <= CORRELATION_WINDOW_SECONDS
             and fingerprint not in other.fingerprints
         )
-        return COMMON_WEIGHT if sum(1 for _ in beside) >= COMMON_ENDS else 1.0
+        return (
+            CORRELATED_CRASH_WEIGHT if sum(1 for _ in concurrent) >= MIN_CORRELATED_CRASHES else 1.0
+        )
 
-    def _refused_until(self, fingerprint: int, crashes: float) -> float:
-        """Clock time until which the request is refused; the past if it is not."""
-        beyond = int(crashes) - QUARANTINE_CRASHES
-        if beyond < 0:
+    def _refused_until(self, fingerprint: int, count: float) -> float:
+        """Clock time until which the request is refused; -inf if it is not."""
+        excess = int(count) - QUARANTINE_CRASHES
+        if excess < 0:
             return float("-inf")
-        last = max(end.at for end in self.crashes_by_fingerprint[fingerprint])
-        return last + QUARANTINE_SECONDS[min(beyond, len(QUARANTINE_SECONDS) - 1)]
+        last = max(crash.at for crash in self.crashes_by_fingerprint[fingerprint])
+        return last + QUARANTINE_SECONDS[min(excess, len(QUARANTINE_SECONDS) - 1)]
 
     def _trial(self, fingerprint: int) -> Trial | None:
         trial = self.trials_by_fingerprint.get(fingerprint)
-        if trial is not None and self.clock.seconds() - trial.at >= TRIAL_SECONDS:
+        if trial is not None and self.clock.seconds() - trial.at >= TRIAL_TIMEOUT_SECONDS:
             del self.trials_by_fingerprint[fingerprint]
             return None
         return trial
 
     def _find(
-        self, endpoint: str, at: float, restored: bool = False, began: float = float("-inf")
+        self, endpoint: str, at: float, restored: bool = False, sent_at: float = float("-inf")
     ) -> EndpointCrash | None:
-        """The end that is known already; one that a record counts has no time of its own."""
+        """The known crash that matches, or None. A restored crash matches by its name alone."""
         return next(
             (
-                end
-                for end in reversed(self.endpoint_crashes)
-                if end.endpoint == endpoint
-                and (restored or abs(end.at - at) <= SAME_END_SECONDS)
-                and end.at >= began
+                crash
+                for crash in reversed(self.endpoint_crashes)
+                if crash.endpoint == endpoint
+                and (restored or abs(crash.at - at) <= SAME_CRASH_SECONDS)
+                and crash.at >= sent_at
             ),
             None,
         )
 
-    def _add(self, end: EndpointCrash) -> EndpointCrash:
-        self._make_room()
-        end.learned_at = self.clock.seconds()
-        self.endpoint_crashes.append(end)
-        return end
-
-    def _make_room(self) -> None:
-        """Forget old ends, and the oldest if there are too many; suspects' ends go last."""
-        oldest = self.clock.seconds() - MEMORY_SECONDS
-        for end in [
-            end for end in self.endpoint_crashes if end.at < oldest and not self._suspects(end)
+    def _add(self, crash: EndpointCrash) -> EndpointCrash:
+        self._evict()
+        crash.updated_at = self.clock.seconds()
+        self.endpoint_crashes.append(crash)
+        return crash
+
+    def _evict(self) -> None:
+        """Drop expired crashes, and the oldest if there are too many; keep those with suspects."""
+        oldest = self.clock.seconds() - CRASH_RETENTION_SECONDS
+        for crash in [
+            crash
+            for crash in self.endpoint_crashes
+            if crash.at < oldest and not self._format_suspects(crash)
         ]:
-            self._drop(end)
+            self._remove(crash)
         if len(self.endpoint_crashes) >= MAX_CRASHES:
-            self._drop(
-                min(self.endpoint_crashes, key=lambda end: (bool(self._suspects(end)), end.at))
+            self._remove(
+                min(
+                    self.endpoint_crashes,
+                    key=lambda crash: (bool(self._format_suspects(crash)), crash.at),
+                )
             )
 
-    def _suspects(self, end: EndpointCrash) -> list[str]:
-        """The requests of an end that were in flight at others too."""
+    def _format_suspects(self, crash: EndpointCrash) -> list[str]:
+        """The formatted fingerprints of the requests of a crash that are suspected."""
         return [
             format_fingerprint(fingerprint)
-            for fingerprint in end.fingerprints
-            if len(self.crashes_by_fingerprint[fingerprint]) >= SUSPECTING_CRASHES
+            for fingerprint in crash.fingerprints
+            if len(self.crashes_by_fingerprint[fingerprint]) >= SUSPECT_CRASHES
         ]
 
-    def _charge(self, end: EndpointCrash, fingerprint: int) -> bool:
-        """Note that a request was in flight at an end; return whether that is new."""
+    def _add_fingerprint(self, crash: EndpointCrash, fingerprint: int) -> bool:
+        """Add a request in flight at a crash; return whether it was added."""
         cleared = self.clearances_by_fingerprint.get(fingerprint)
-        if fingerprint in end.fingerprints or (cleared is not None and end.at <= cleared.at):
+        if fingerprint in crash.fingerprints or (cleared is not None and crash.at <= cleared.at):
             return False
-        if len(end.fingerprints) >= MAX_FINGERPRINTS_PER_CRASH:
+        if len(crash.fingerprints) >= MAX_FINGERPRINTS_PER_CRASH:
             return False
-        end.fingerprints.add(fingerprint)
-        self.crashes_by_fingerprint.setdefault(fingerprint, []).append(end)
+        crash.fingerprints.add(fingerprint)
+        self.crashes_by_fingerprint.setdefault(fingerprint, []).append(crash)
         return True
 
-    def _seen(self, end: EndpointCrash) -> None:
-        """This gateway learnt something of a confirmed end by itself."""
-        end.learned_at = self.clock.seconds()
-        self._end_trials(end)
-        for fingerprint in end.fingerprints:
-            crashes = self._crash_count(fingerprint)
-            if crashes >= QUARANTINE_CRASHES:
+    def _record_local_crash(self, crash: EndpointCrash) -> None:
+        """Update trials and quarantine after this gateway observed a confirmed crash."""
+        crash.updated_at = self.clock.seconds()
+        self._end_trials(crash)
+        for fingerprint in crash.fingerprints:
+            count = self._crash_count(fingerprint)
+            if count >= QUARANTINE_CRASHES:
                 log_message(
                     message_type="quarantine:began",
                     fingerprint=format_fingerprint(fingerprint),
-                    crashes=crashes,
-                    seconds=round(self._refused_until(fingerprint, crashes) - end.at, 1),
+                    crashes=count,
+                    seconds=round(self._refused_until(fingerprint, count) - crash.at, 1),
                 )
                 self.on_quarantined(fingerprint)
-        self._changed(self.on_local_change)
+        self._notify(self.on_local_change)
 
-    def _end_trials(self, end: EndpointCrash) -> None:
-        for fingerprint in end.fingerprints & self.trials_by_fingerprint.keys():
-            if self.trials_by_fingerprint[fingerprint].at <= end.at:
+    def _end_trials(self, crash: EndpointCrash) -> None:
+        for fingerprint in crash.fingerprints & self.trials_by_fingerprint.keys():
+            if self.trials_by_fingerprint[fingerprint].at <= crash.at:
                 del self.trials_by_fingerprint[fingerprint]
 
-    def _ended_since(self, fingerprint: int, at: float) -> bool:
-        ends = self.crashes_by_fingerprint.get(fingerprint, ())
-        return any(end.at >= at for end in ends)
+    def _crashed_since(self, fingerprint: int, at: float) -> bool:
+        crashes = self.crashes_by_fingerprint.get(fingerprint, ())
+        return any(crash.at >= at for crash in crashes)
 
     def _clear(self, fingerprint: int, at: float) -> None:
-        was = len(self.crashes_by_fingerprint.get(fingerprint, ()))
-        for end in list(self.crashes_by_fingerprint.get(fingerprint, ())):
-            if end.at <= at:
-                self._acquit(end, fingerprint)
+        previous_count = len(self.crashes_by_fingerprint.get(fingerprint, ()))
+        for crash in list(self.crashes_by_fingerprint.get(fingerprint, ())):
+            if crash.at <= at:
+                self._remove_fingerprint(crash, fingerprint)
         self.trials_by_fingerprint.pop(fingerprint, None)
         self.clearances_by_fingerprint.pop(fingerprint, None)
         self.clearances_by_fingerprint[fingerprint] = Clearance(
@@ -387,21 +401,21 @@
         )
         if len(self.clearances_by_fingerprint) > MAX_CLEARANCES:
             self.clearances_by_fingerprint.popitem(last=False)
-        if was >= SUSPECTING_CRASHES:
+        if previous_count >= SUSPECT_CRASHES:
             log_message(
                 message_type="quarantine:cleared",
                 fingerprint=format_fingerprint(fingerprint),
-                crashes=was,
+                crashes=previous_count,
             )
 
-    def _acquit(self, end: EndpointCrash, fingerprint: int) -> None:
-        end.fingerprints.discard(fingerprint)
-        ends = self.crashes_by_fingerprint[fingerprint]
-        ends.remove(end)
-        if not ends:
+    def _remove_fingerprint(self, crash: EndpointCrash, fingerprint: int) -> None:
+        crash.fingerprints.discard(fingerprint)
+        crashes = self.crashes_by_fingerprint[fingerprint]
+        crashes.remove(crash)
+        if not crashes:
             del self.crashes_by_fingerprint[fingerprint]
 
-    def _drop(self, end: EndpointCrash) -> None:
-        for fingerprint in list(end.fingerprints):
-            self._acquit(end, fingerprint)
-        self.endpoint_crashes.remove(end)
+    def _remove(self, crash: EndpointCrash) -> None:
+        for fingerprint in list(crash.fingerprints):
+            self._remove_fingerprint(crash, fingerprint)
+        self.endpoint_crashes.remove(crash)
--- a/tests/quarantine/crashing_fleet.py
+++ b/tests/quarantine/crashing_fleet.py
@@ -1,4 +1,4 @@
-"""Gateways before endpoints that one request crashes, all on one paused clock."""
+"""Gateways and endpoints that one request crashes, all on one fake clock."""
 
 import collections
 import itertools
@@ -24,9 +24,9 @@
 __all__ = ["CrashingFleet", "Endpoint"]
 
 RESTART_SECONDS = 1.0
-CRASHER_SECONDS = 0.25
-SOUND_SECONDS = 0.02
-STORE_PORT_RANGE = range(7200, 7216)
+CRASHER_INTERVAL_SECONDS = 0.25
+HARMLESS_INTERVAL_SECONDS = 0.02
+PEER_PORT_RANGE = range(7200, 7216)
 ATTEMPTS_BY_KIND = {"idempotent": 2, "non_idempotent": 1, "stream": 1}
 KINDS_BY_PATH = {"page": "idempotent", "record": "non_idempotent", "listing": "stream"}
 
@@ -46,7 +46,7 @@
 
 
 class Endpoint:
-    """A stand-in endpoint; each start is another incarnation where a store holds its entry."""
+    """A stand-in endpoint; if there is a store, each start registers under a new id."""
 
     def __init__(self, fleet, name, ip):
         self.fleet, self.name, self.ip = fleet, name, ip
@@ -69,18 +69,18 @@
             self.fleet.store.write("endpoints", self.id, self.ip)
 
     def crash(self, seconds=RESTART_SECONDS):
-        """End now, and start again after so long."""
-        former = self.id
+        """Crash now, and restart after ``seconds``."""
+        previous_id = self.id
         self.listener.crash(seconds)
         network = self.fleet.network
         if self.fleet.store is not None:
-            lapse = self.fleet.lapse_seconds
-            network.callLater(lapse, self.fleet.store.write, "endpoints", former, None, True)
+            lapse = self.fleet.entry_expiry_seconds
+            network.callLater(lapse, self.fleet.store.write, "endpoints", previous_id, None, True)
         network.callLater(seconds, self._register)
 
 
 class _Adapter:
-    """The store's content of this test as a gateway's source reads it."""
+    """Decodes the contents of this test's store for a gateway's source."""
 
     config_kind, config_name, endpoint_kind = "config", "main", "endpoints"
     dialect = PlatformAdapter().dialect
@@ -95,7 +95,7 @@
 
 
 class _Answer(AnswerListener):
-    """Counts how one request ended: its status, or ``"broken"``."""
+    """Passes on the outcome of one request: its status, or ``"broken"``."""
 
     def __init__(self, ended):
         self.ended = ended
@@ -112,13 +112,14 @@
 
 
 class CrashingFleet:
-    """Endpoints that are back a second after a crash, gateways, and their callers.
+    """Endpoints that restart a second after a crash, gateways, and their callers.
 
-    :param gateways: how many share a store, over ``data_centres``; None for one with a routes file.
-    :ivar sound: ends of sound requests by outcome, ``crashers``: those of the request that crashes.
+    :param gateways: number of gateways with a store; None for a single one with a routes file.
+    :ivar harmless_outcomes: number of harmless requests by outcome.
+    :ivar crasher_outcomes: number of requests that crash endpoints, by outcome.
     """
 
-    lapse_seconds = 0.5
+    entry_expiry_seconds = 0.5
 
     def __init__(self, endpoints=6, gateways=None, data_centres=1, work_seconds=0.0, seed=7):
         self.work_seconds = work_seconds
@@ -149,8 +150,8 @@
         self.gateways = {}
         self.links = {}
         self.numbers = itertools.count(1)
-        self.sound = collections.Counter()
-        self.crashers = collections.Counter()
+        self.harmless_outcomes = collections.Counter()
+        self.crasher_outcomes = collections.Counter()
         self.retry_after = []
         for number in range(gateways or 1):
             place = number % data_centres
@@ -164,7 +165,7 @@
             data_centre=data_centre,
             caller_address=(ip, 8740),
             readiness_address=(ip, 8749),
-            peer_ports=STORE_PORT_RANGE,
+            peer_ports=PEER_PORT_RANGE,
             store_address=("10.200.0.1", 80),
             bounds=Bounds(stop_grace=0.5, retry_extra=60.0),
         )
@@ -174,7 +175,7 @@
             source = StoreSource(self.network, settings, _Adapter())
             source.store = self.links[instance] = StoreLink(self.store)
         gateway = IngressService(self.network, settings, NativeWire(), source, "/ready")
-        # The same draws in each run of a test.
+        # Fixed seeds, so that each run of a test is the same.
         for part in (gateway.dispatch, gateway.context.placement, gateway.context.queue):
             part.random = random.Random(f"{self.seed} {instance}")
         gateway.start()
@@ -182,7 +183,7 @@
         return gateway
 
     def kill_gateway(self, instance):
-        """End a gateway as a lost instance would."""
+        """Stop a gateway abruptly, like a lost instance."""
         gateway = self.gateways.pop(instance)
         self.links[instance].set_state("silent")
         gateway.source.stop()
@@ -197,38 +198,44 @@
     def crashes(self):
         return sum(endpoint.listener.crashes for endpoint in self.endpoints)
 
-    def play(self, crasher, seconds, sound=SOUND_SECONDS, crash_every=CRASHER_SECONDS):
-        """Send ``crasher`` again and again beside sound requests of all kinds."""
+    def send_requests(
+        self,
+        crasher,
+        seconds,
+        harmless_interval=HARMLESS_INTERVAL_SECONDS,
+        crasher_interval=CRASHER_INTERVAL_SECONDS,
+    ):
+        """Send ``crasher`` repeatedly, together with harmless requests of all kinds."""
         until = self.network.seconds() + seconds
-        self._repeat(crash_every, until, lambda: self.crash_request(crasher))
-        self._repeat(sound, until, self.sound_request)
+        self._schedule_repeatedly(crasher_interval, until, lambda: self.send_crasher(crasher))
+        self._schedule_repeatedly(harmless_interval, until, self.send_harmless)
         self.network.pass_time(seconds + 3.0)
 
-    def _repeat(self, interval, until, work):
+    def _schedule_repeatedly(self, interval, until, work):
         if self.network.seconds() < until:
             work()
-            self.network.callLater(interval, self._repeat, interval, until, work)
+            self.network.callLater(interval, self._schedule_repeatedly, interval, until, work)
 
-    def crash_request(self, kind, gateway=None):
-        """Ask once, under a new id, for what crashes endpoints."""
-        self._ask(f"/{kind}/same", CRASH_BODY, self.crashers, gateway)
+    def send_crasher(self, kind, gateway=None):
+        """Send the request that crashes endpoints once, with a new id."""
+        self._send(f"/{kind}/same", CRASH_BODY, self.crasher_outcomes, gateway)
 
-    def sound_request(self, path=None, gateway=None, comes_back=False):
-        """Ask for what any endpoint serves; ``comes_back``: once more if refused, when told."""
+    def send_harmless(self, path=None, gateway=None, retry=False):
+        """Send a harmless request; with ``retry``, repeat it after Retry-After if refused."""
         number = next(self.numbers)
         kind = tuple(KINDS_BY_PATH)[number % 3]
-        self._ask(path or f"/{kind}/{number}", b"", self.sound, gateway, comes_back)
+        self._send(path or f"/{kind}/{number}", b"", self.harmless_outcomes, gateway, retry)
 
-    def _ask(self, path, body, results, instance=None, comes_back=False):
+    def _send(self, path, body, results, instance=None, retry=False):
         instance = instance or random.choice(sorted(self.gateways))
         headers = [(b"host", b"h.example"), (b"x-request-id", b"r%d" % next(self.numbers))]
 
         def ended(outcome, answer_headers):
             results[outcome] += 1
-            if results is self.sound and outcome == 503 and comes_back:
+            if results is self.harmless_outcomes and outcome == 503 and retry:
                 wait = float(answer_headers[b"retry-after"])
-                self.network.callLater(wait, self._ask, path, body, results)
-            if results is self.crashers and b"retry-after" in answer_headers:
+                self.network.callLater(wait, self._send, path, body, results)
+            if results is self.crasher_outcomes and b"retry-after" in answer_headers:
                 self.retry_after.append(float(answer_headers[b"retry-after"]))
 
         def connected(connection):
@@ -242,5 +249,5 @@
         connecting.addCallbacks(connected, lambda failure: ended("unreachable", {}))
 
     def served_share(self):
-        """Share of the sound requests that were answered with success."""
-        return self.sound[200] / max(1, sum(self.sound.values()))
+        """Share of the harmless requests that were answered with success."""
+        return self.harmless_outcomes[200] / max(1, sum(self.harmless_outcomes.values()))
--- a/tests/quarantine/test_crashing_requests.py
+++ b/tests/quarantine/test_crashing_requests.py
@@ -1,41 +1,41 @@
-"""Requests that crash the endpoints that run them come again and again."""
+"""Requests that crash endpoints and are sent repeatedly."""
 
 import pytest
 
 from tests.quarantine.crashing_fleet import KINDS_BY_PATH, CrashingFleet
 
-# Three crashes show which request it is; then at most three trials, seconds apart.
-CRASHES_AT_MOST = 6
-SERVED_AT_LEAST = 0.98
-# How long a sound request may be refused: within the patience of all callers but the plainest.
-NOT_LONG_SECONDS = 3.0
+# Three crashes identify the request; then there are at most three trials.
+MAX_CRASHES = 6
+MIN_SERVED_SHARE = 0.98
+# How long a harmless request may be refused.
+MAX_RETRY_SECONDS = 3.0
 
 
 @pytest.mark.parametrize("kind", KINDS_BY_PATH)
-def test_a_request_that_crashes_endpoints_does_not_take_the_fleet_down(kind):
-    """Guards against one request, sent four times a second, that ends each endpoint in turn."""
+def test_a_crashing_request_does_not_take_the_fleet_down(kind):
+    """Guards against one request, sent four times a second, that crashes each endpoint in turn."""
     fleet = CrashingFleet()
-    fleet.play(kind, 20.0)
-    assert fleet.crashes <= CRASHES_AT_MOST
-    assert fleet.served_share() >= SERVED_AT_LEAST
+    fleet.send_requests(kind, 20.0)
+    assert fleet.crashes <= MAX_CRASHES
+    assert fleet.served_share() >= MIN_SERVED_SHARE
 
 
-def test_gateways_share_what_they_know_of_a_request_that_crashes_endpoints():
-    """Guards against each gateway learning for itself, at the price of three endpoints each."""
+def test_gateways_share_crash_reports():
+    """Guards against each gateway identifying the request on its own, with three crashes each."""
     fleet = CrashingFleet(gateways=6, data_centres=3)
-    fleet.play("listing", 20.0)
-    assert fleet.crashes <= CRASHES_AT_MOST
-    assert fleet.served_share() >= SERVED_AT_LEAST
+    fleet.send_requests("listing", 20.0)
+    assert fleet.crashes <= MAX_CRASHES
+    assert fleet.served_share() >= MIN_SERVED_SHARE
 
 
 def crash_until_refused(fleet, kind="listing"):
-    """Play until the request is refused everywhere."""
-    fleet.play(kind, 4.0)
+    """Send requests until the crashing one is refused everywhere."""
+    fleet.send_requests(kind, 4.0)
     return fleet.crashes
 
 
-def test_gateways_that_all_start_again_know_the_request():
-    """Guards against three more crashes after every gateway was lost."""
+def test_gateways_that_all_restart_restore_the_quarantine():
+    """Guards against three more crashes after all gateways were lost."""
     fleet = CrashingFleet(gateways=4, data_centres=2)
     before = crash_until_refused(fleet)
     addresses = [(name, gateway.settings) for name, gateway in fleet.gateways.items()]
@@ -44,11 +44,11 @@
     for name, settings in addresses:
         fleet.start_gateway(name, settings.ip, settings.data_centre)
     fleet.network.pass_time(3.0)
-    fleet.play("listing", 10.0)
+    fleet.send_requests("listing", 10.0)
     assert fleet.crashes <= before + 2
 
 
-def test_a_gateway_that_starts_deaf_to_the_store_learns_from_its_peers():
+def test_a_gateway_that_starts_without_the_store_learns_from_its_peers():
     """Guards against three more crashes through a gateway that cannot read the record."""
     fleet = CrashingFleet(gateways=4, data_centres=2)
     before = crash_until_refused(fleet)
@@ -62,7 +62,7 @@
     assert fleet.crashes <= before + 1
 
 
-def test_a_gateway_that_was_cut_off_from_its_peers_learns_when_they_are_back():
+def test_a_gateway_learns_of_crashes_after_a_partition():
     fleet = CrashingFleet(gateways=4, data_centres=2)
     ips = {name: gateway.settings.ip for name, gateway in fleet.gateways.items()}
     fleet.network.cuts = {
@@ -72,7 +72,7 @@
         for pair in ((ip, ips["g3"]), (ips["g3"], ip))
     }
     for _ in range(3):
-        fleet.crash_request("listing", gateway="g0")
+        fleet.send_crasher("listing", gateway="g0")
         fleet.network.pass_time(2.0)
     assert not fleet.gateways["g3"].crashes.quarantined_fingerprints()
     fleet.network.cuts = set()
@@ -80,22 +80,22 @@
     assert fleet.gateways["g3"].crashes.quarantined_fingerprints()
 
 
-def test_a_refused_request_is_answered_at_once_with_when_to_come_back():
+def test_a_refused_request_is_answered_at_once_with_retry_after():
     fleet = CrashingFleet()
     crash_until_refused(fleet)
-    fleet.crash_request("listing")
+    fleet.send_crasher("listing")
     fleet.network.pass_time(1.0)
-    refused = fleet.crashers[503]
-    fleet.crash_request("listing")
+    refused_before = fleet.crasher_outcomes[503]
+    fleet.send_crasher("listing")
     fleet.network.pass_time(0.05)
-    assert fleet.crashers[503] == refused + 1
+    assert fleet.crasher_outcomes[503] == refused_before + 1
     assert fleet.retry_after[-1] > 1.0
 
 
-def fail_racks(fleet, ask, rounds=4):
-    """Let half of the endpoints end together again and again while ``ask`` has requests there."""
+def fail_racks(fleet, send, rounds=4):
+    """Crash half of the endpoints together, ``rounds`` times, while they run requests."""
     for number in range(rounds):
-        ask()
+        send()
         fleet.network.pass_time(0.02)
         for endpoint in fleet.endpoints[:3] if number % 2 else fleet.endpoints[3:]:
             endpoint.crash()
@@ -106,31 +106,31 @@
 
 @pytest.mark.parametrize("seed", range(6))
 @pytest.mark.parametrize("kind", KINDS_BY_PATH)
-def test_sound_requests_that_met_failing_racks_are_served(kind, seed):
-    """Guards against refusing callers for long who were in flight at several common failures."""
+def test_harmless_requests_in_flight_at_failing_racks_are_served(kind, seed):
+    """Guards against refusing requests for long that were in flight at several rack failures."""
     fleet = CrashingFleet(gateways=3, work_seconds=0.05, seed=seed)
     paths = [f"/{kind}/{number}" for number in range(18)]
-    fail_racks(fleet, lambda: [fleet.sound_request(path) for path in paths])
-    fleet.sound.clear()
+    fail_racks(fleet, lambda: [fleet.send_harmless(path) for path in paths])
+    fleet.harmless_outcomes.clear()
     for path in paths:
-        fleet.sound_request(path, comes_back=True)
-    fleet.network.pass_time(NOT_LONG_SECONDS)
-    assert fleet.sound[200] == len(paths)
+        fleet.send_harmless(path, retry=True)
+    fleet.network.pass_time(MAX_RETRY_SECONDS)
+    assert fleet.harmless_outcomes[200] == len(paths)
 
 
 @pytest.mark.parametrize("kind", KINDS_BY_PATH)
-def test_a_request_that_many_make_at_once_is_served_after_failing_racks(kind):
-    """Guards against refusing a popular page because it is in flight at every end."""
+def test_a_popular_request_is_served_after_failing_racks(kind):
+    """Guards against refusing a popular page because it is in flight at every crash."""
     fleet = CrashingFleet(gateways=3, work_seconds=0.05)
-    fail_racks(fleet, lambda: [fleet.sound_request(f"/{kind}/same") for _ in range(18)])
-    fleet.sound.clear()
+    fail_racks(fleet, lambda: [fleet.send_harmless(f"/{kind}/same") for _ in range(18)])
+    fleet.harmless_outcomes.clear()
     for _ in range(6):
-        fleet.sound_request(f"/{kind}/same")
+        fleet.send_harmless(f"/{kind}/same")
     fleet.network.pass_time(1.0)
-    assert fleet.sound == {200: 6}
+    assert fleet.harmless_outcomes == {200: 6}
 
 
-def test_the_story_of_a_refused_request_is_told():
+def test_metrics_show_a_quarantined_request():
     fleet = CrashingFleet()
     crash_until_refused(fleet)
     text = fleet.gateways["g0"]._exposition().decode()
