--- a/src/guavacleat/quarantine/tracker.py
+++ b/src/guavacleat/quarantine/tracker.py
@@ -92,7 +92,7 @@
         return QuarantineStatus(QuarantineState.ISOLATED, count)
 
     def quarantined_fingerprints(self) -> list[int]:
-        """Fingerprints of the requests with enough crashes to be refused, also between refusals."""
+        """Fingerprints of the requests with at least QUARANTINE_CRASHES attributed crashes."""
         return [
             fingerprint
             for fingerprint, crashes in self.crashes_by_fingerprint.items()
@@ -278,7 +278,7 @@
         )
 
     def _weight(self, crash: EndpointCrash, fingerprint: int) -> float:
-        """The weight of a crash for one of the requests in flight at it."""
+        """The weight of a crash for one of its requests; lower in a correlated failure."""
         if crash.restored:
             return 1.0
         concurrent = (
@@ -310,7 +310,7 @@
     def _find(
         self, endpoint: str, at: float, restored: bool = False, sent_at: float = float("-inf")
     ) -> EndpointCrash | None:
-        """The known crash that matches, or None. A restored crash matches by its name alone."""
+        """The known crash of ``endpoint`` at that time; with ``restored``, at any time."""
         return next(
             (
                 crash
--- a/src/guavacleat/store/client.py
+++ b/src/guavacleat/store/client.py
@@ -33,8 +33,8 @@
 
 __all__ = ["StoreClient", "WATCH_WAIT"]
 
-CALL_TIMEOUT = 5.0
-WATCH_WAIT = 10.0
+CALL_TIMEOUT = 5.0  # seconds
+WATCH_WAIT = 10.0  # seconds
 HISTORY_LOST_STATUS = 410
 EXPECTED_STATUSES = (200, 201, 404, 409, HISTORY_LOST_STATUS)
 
--- a/src/guavacleat/store/watch.py
+++ b/src/guavacleat/store/watch.py
@@ -23,11 +23,11 @@
 
 __all__ = ["RECOVERY_WAIT", "WatchLoop"]
 
-BACKOFF_MIN = 0.2
+BACKOFF_MIN = 0.2  # seconds
 # Wait in seconds of a watch after a failure. It is short so that a call which the store never
 # answers times out soon after the store has recovered.
 RECOVERY_WAIT = 0.3
-BACKOFF_MAX = 5.0
+BACKOFF_MAX = 5.0  # seconds
 # Each watch waits for a random fraction, between this and 1, of its wait. A change answers the
 # watches of all gateways at once; without jitter they would all detect an outage equally late.
 MIN_WAIT_FRACTION = 0.6
--- a/tests/quarantine/crashing_fleet.py
+++ b/tests/quarantine/crashing_fleet.py
@@ -74,8 +74,8 @@
         self.listener.crash(seconds)
         network = self.fleet.network
         if self.fleet.store is not None:
-            lapse = self.fleet.entry_expiry_seconds
-            network.callLater(lapse, self.fleet.store.write, "endpoints", previous_id, None, True)
+            expiry = self.fleet.entry_expiry_seconds
+            network.callLater(expiry, self.fleet.store.write, "endpoints", previous_id, None, True)
         network.callLater(seconds, self._register)
 
 
@@ -94,21 +94,21 @@
         return EndpointEntry(id, "svc", (ip, 80), "", 6, EndpointState.READY, revision)
 
 
-class _Answer(AnswerListener):
+class _OutcomeListener(AnswerListener):
     """Passes on the outcome of one request: its status, or ``"broken"``."""
 
-    def __init__(self, ended):
-        self.ended = ended
+    def __init__(self, on_outcome):
+        self.on_outcome = on_outcome
         self.head = None
 
     def answer_began(self, head):
         self.head = head
 
     def answer_ended(self):
-        self.ended(self.head.status, dict(self.head.headers))
+        self.on_outcome(self.head.status, dict(self.head.headers))
 
     def answer_broken(self, reason):
-        self.ended("broken", {})
+        self.on_outcome("broken", {})
 
 
 class CrashingFleet:
@@ -148,14 +148,16 @@
         if self.store is not None:
             self.store.write("config", "main", self.routes)
         self.gateways = {}
-        self.links = {}
-        self.numbers = itertools.count(1)
+        self.store_links = {}
+        self.request_numbers = itertools.count(1)
         self.harmless_outcomes = collections.Counter()
         self.crasher_outcomes = collections.Counter()
         self.retry_after = []
         for number in range(gateways or 1):
-            place = number % data_centres
-            self.start_gateway(f"g{number}", f"10.{place}.0.{number + 1}", f"dc{place}")
+            data_centre_number = number % data_centres
+            self.start_gateway(
+                f"g{number}", f"10.{data_centre_number}.0.{number + 1}", f"dc{data_centre_number}"
+            )
         self.network.pass_time(2.0)
 
     def start_gateway(self, instance, ip, data_centre):
@@ -173,7 +175,7 @@
             source = FileSource(lambda: parse_routes(self.routes))
         else:
             source = StoreSource(self.network, settings, _Adapter())
-            source.store = self.links[instance] = StoreLink(self.store)
+            source.store = self.store_links[instance] = StoreLink(self.store)
         gateway = IngressService(self.network, settings, NativeWire(), source, "/ready")
         # Fixed seeds, so that each run of a test is the same.
         for part in (gateway.dispatch, gateway.context.placement, gateway.context.queue):
@@ -185,7 +187,7 @@
     def kill_gateway(self, instance):
         """Stop a gateway abruptly, like a lost instance."""
         gateway = self.gateways.pop(instance)
-        self.links[instance].set_state("silent")
+        self.store_links[instance].set_state("silent")
         gateway.source.stop()
         gateway.endpoint_poll.stop()
         for port in gateway.ports:
@@ -222,15 +224,15 @@
 
     def send_harmless(self, path=None, gateway=None, retry=False):
         """Send a harmless request; with ``retry``, repeat it after Retry-After if refused."""
-        number = next(self.numbers)
+        number = next(self.request_numbers)
         kind = tuple(KINDS_BY_PATH)[number % 3]
         self._send(path or f"/{kind}/{number}", b"", self.harmless_outcomes, gateway, retry)
 
     def _send(self, path, body, results, instance=None, retry=False):
         instance = instance or random.choice(sorted(self.gateways))
-        headers = [(b"host", b"h.example"), (b"x-request-id", b"r%d" % next(self.numbers))]
+        headers = [(b"host", b"h.example"), (b"x-request-id", b"r%d" % next(self.request_numbers))]
 
-        def ended(outcome, answer_headers):
+        def on_outcome(outcome, answer_headers):
             results[outcome] += 1
             if results is self.harmless_outcomes and outcome == 503 and retry:
                 wait = float(answer_headers[b"retry-after"])
@@ -239,14 +241,14 @@
                 self.retry_after.append(float(answer_headers[b"retry-after"]))
 
         def connected(connection):
-            connection.send(b"POST", path.encode(), headers, body, _Answer(ended))
+            connection.send(b"POST", path.encode(), headers, body, _OutcomeListener(on_outcome))
 
         connector = protocol.ClientCreator(
             self.network, EndpointConnection, lambda found: found.abandon(), lambda lost: None
         )
         address = self.gateways[instance].settings.caller_address
         connecting = connector.connectTCP(*address)
-        connecting.addCallbacks(connected, lambda failure: ended("unreachable", {}))
+        connecting.addCallbacks(connected, lambda failure: on_outcome("unreachable", {}))
 
     def served_share(self):
         """Share of the harmless requests that were answered with success."""
--- a/tests/quarantine/test_crashing_requests.py
+++ b/tests/quarantine/test_crashing_requests.py
@@ -56,7 +56,7 @@
     fleet.kill_gateway("g1")
     fleet.start_gateway("g1", ip, "dc1")
     fleet.network.pass_time(1.0)
-    fleet.links["g1"].set_state("silent")
+    fleet.store_links["g1"].set_state("silent")
     fleet.network.pass_time(4.0)
     assert fleet.gateways["g1"].crashes.quarantined_fingerprints()
     assert fleet.crashes <= before + 1
@@ -100,8 +100,10 @@
         for endpoint in fleet.endpoints[:3] if number % 2 else fleet.endpoints[3:]:
             endpoint.crash()
         fleet.network.pass_time(2.0)
-    ends = [end for gateway in fleet.gateways.values() for end in gateway.crashes.endpoint_crashes]
-    assert len(ends) >= rounds
+    recorded = [
+        known for gateway in fleet.gateways.values() for known in gateway.crashes.endpoint_crashes
+    ]
+    assert len(recorded) >= rounds
 
 
 @pytest.mark.parametrize("seed", range(6))
--- a/tests/restore/fleet.py
+++ b/tests/restore/fleet.py
@@ -28,17 +28,19 @@
         self.store.call_count += 1
         if self.state != "open":
             return defer.fail(ConnectionError(self.state))
-        answer = self.store.request(method, url, data, timeout)
+        response = self.store.request(method, url, data, timeout)
         query = parse_qs(urlsplit(url).query)
-        if "watch" in query and not answer.called:
+        if "watch" in query and not response.called:
             wait = int(query["waitMs"][0]) / 1000
-            self.clock.callLater(wait, self._answer_without_changes, answer, int(query["watch"][0]))
-        return answer
-
-    def _answer_without_changes(self, answer, since):
-        if not answer.called:
-            self.store.waiting = [known for known in self.store.waiting if known[2] is not answer]
-            answer.callback(self.store._changes("", since))
+            self.clock.callLater(
+                wait, self._answer_without_changes, response, int(query["watch"][0])
+            )
+        return response
+
+    def _answer_without_changes(self, response, since):
+        if not response.called:
+            self.store.waiting = [known for known in self.store.waiting if known[2] is not response]
+            response.callback(self.store._changes("", since))
 
 
 class Store(StoreStandin):
--- a/tests/restore/test_gateways.py
+++ b/tests/restore/test_gateways.py
@@ -141,18 +141,18 @@
 def test_a_late_response_of_an_earlier_era_is_ignored(fleet):
     """Guards against a response that was in flight during the restore."""
     gateway = fleet.gateways["g0-0"]
-    answer = fleet.store._list("servers", "")
+    response = fleet.store._list("servers", "")
     restore_after(fleet, lambda: fleet.set_endpoint("e2", "draining"))
     fleet.pass_time(2.0)
     connection = gateway.link.store_connection
-    connection.request = lambda *args, **kwargs: _done(answer)
+    connection.request = lambda *args, **kwargs: _done(response)
     failed = []
     gateway.link.list_objects("servers").addErrback(failed.append)
     assert failed
     assert gateway.registry.entries_by_id["e2"].state is EndpointState.DRAINING
 
 
-def _done(answer):
+def _done(response):
     from twisted.internet import defer
 
-    return defer.succeed(answer)
+    return defer.succeed(response)
