--- a/src/guavacleat/membership/__init__.py
+++ b/src/guavacleat/membership/__init__.py
@@ -1,4 +1,4 @@
-"""Endpoint membership: leases that sidecars renew in the object API, and the gateways' view."""
+"""Endpoint membership: leases renewed by sidecars in the object API, and the gateway's view."""
 
 from guavacleat.membership.lease import Lease
 from guavacleat.membership.records import EndpointRecord
--- a/src/guavacleat/membership/instances.py
+++ b/src/guavacleat/membership/instances.py
@@ -1,4 +1,4 @@
-"""Polls the platform's lagging list of instances, for the leaving ones."""
+"""Polls the platform's list of instances for those that are leaving; the list lags."""
 
 from twisted.internet import defer
 from twisted.internet.interfaces import IReactorTime
@@ -13,7 +13,7 @@
 
 
 class InstancePoller:
-    """Calls ``on_leaving(set of instance names)`` after each answer of the platform's list."""
+    """Calls ``on_leaving(instance_names)`` after each successful poll."""
 
     def __init__(self, clock: IReactorTime, store: StoreClient, on_leaving):
         self.store = store
@@ -22,7 +22,7 @@
 
     @defer.inlineCallbacks
     def poll(self):
-        """Read the list once; without an answer the last one stands."""
+        """Read the list once; keep the previous result if the store is unavailable."""
         try:
             states_by_name = yield self.store.instances()
         except StoreUnavailableError:
--- a/src/guavacleat/membership/lease.py
+++ b/src/guavacleat/membership/lease.py
@@ -1,4 +1,4 @@
-"""The sidecar's side of membership: renew ``endpoints/<name>`` on a heartbeat."""
+"""The endpoint lease: the sidecar renews ``endpoints/<name>`` with each heartbeat."""
 
 from eliot import log_message
 from twisted.internet import defer
@@ -12,18 +12,17 @@
 
 HEARTBEAT_SECONDS = 1.0
 LEASE_SECONDS = 3.0
-# Sessions that a record names as displaced. An unanswered write is read back a heartbeat later; so
-# many instances do not start for one endpoint meanwhile.
-DISPLACED_KEPT = 8
+# An unanswered write is read back one heartbeat later; fewer sessions than this start meanwhile.
+MAX_DISPLACED_SESSIONS = 8
 
 
 class Lease:
     """Renews one endpoint record every ``HEARTBEAT_SECONDS`` with a conditional write.
 
-    The latest sidecar started for an endpoint holds the lease. One that finds its record in
-    another session's hands (it was paused, and its replacement took over) has lost the lease for
-    good: it stops renewing and calls ``on_superseded``, instead of writing its own address over
-    its replacement's, which would send requests back and forth between the two.
+    The sidecar started last for an endpoint holds the lease. A sidecar that finds another session
+    in its record (it was paused and replaced) has lost the lease permanently: it stops renewing
+    and calls ``on_superseded``. Overwriting the record would make requests alternate between the
+    two sidecars.
     """
 
     def __init__(
@@ -42,15 +41,15 @@
 
     @defer.inlineCallbacks
     def renew(self):
-        """Write the record once; a lost or refused write is counted and retried next beat."""
+        """Write the record once; a failed write is counted and retried at the next heartbeat."""
         if self.superseded:
             return
         self.record.beat += 1
         try:
             yield self._write()
         except (ConflictError, StoreUnavailableError):
-            # Another session moved the record, or our own write applied and its answer was
-            # lost; the next beat reads the record to tell which before writing.
+            # Another session wrote the record, or this write took effect but its answer was
+            # lost. The next heartbeat reads the record before writing.
             self.version = None
             self.failures += 1
 
@@ -59,28 +58,28 @@
         if self.version is None:
             current = yield self.store.get(ENDPOINT_KIND, self.record.name)
             if current is not None and self._taken_over(current.value):
-                self._step_down()
+                self._stop_superseded()
                 return
             self.version = current.version if current else 0
-            self._note_displaced(current)
+            self._record_displaced(current)
         stored = yield self.store.put(
             ENDPOINT_KIND, self.record.name, self.record.to_json(), self.version
         )
         self.version = stored.version
         self.held = True
 
-    def _note_displaced(self, current) -> None:
-        """Name in the record the sessions before this one: their writes were done."""
+    def _record_displaced(self, current) -> None:
+        """Name the previous sessions in the record, which confirms that their writes were done."""
         if current is None or current.value.get("session") == self.record.session:
             return
         before = (current.value.get("session", ""), *current.value.get("displaced", ()))
-        self.record.displaced = before[:DISPLACED_KEPT]
+        self.record.displaced = before[:MAX_DISPLACED_SESSIONS]
 
     def _taken_over(self, value: dict) -> bool:
-        """Whether the record has gone to another session since this one took it.
+        """Whether another session has taken the record over from this one.
 
-        A first write with no answer may have lost to the session it meant to displace, which is
-        no reason to step down: only a third session's record is.
+        An unanswered first write may not have displaced the previous session. The record then
+        still names that session, which does not count as a takeover.
         """
         session = value.get("session", "")
         if session == self.record.session:
@@ -92,7 +91,7 @@
             self.displaced = session
         return session != self.displaced
 
-    def _step_down(self) -> None:
+    def _stop_superseded(self) -> None:
         self.superseded = True
         self.rounds.stop()
         log_message(message_type="lease:superseded", endpoint=self.record.name)
@@ -100,7 +99,7 @@
 
     @defer.inlineCallbacks
     def mark_draining(self):
-        """Announce that the endpoint is leaving; gateways stop sending it new work."""
+        """Announce that the endpoint is leaving; gateways send it no new requests."""
         self.record.draining = True
         log_message(message_type="lease:draining", endpoint=self.record.name)
         yield self.renew()
--- a/src/guavacleat/membership/liveness.py
+++ b/src/guavacleat/membership/liveness.py
@@ -1,4 +1,4 @@
-"""Trying whether an endpoint's process is still there."""
+"""Probes whether an endpoint's process is still running."""
 
 from eliot import log_message
 from twisted.internet.error import ConnectionRefusedError
@@ -10,7 +10,7 @@
 
 
 class EndpointProbe:
-    """Connects to an endpoint's address: where no process listens, the connection is refused."""
+    """Connects to an endpoint's address; a refused connection means that its process has ended."""
 
     def __init__(self, pool, registry: EndpointRegistry):
         self.pool = pool
@@ -19,7 +19,7 @@
     async def __call__(self, endpoint: str) -> Liveness:
         entry = self.registry.entries_by_id.get(endpoint)
         if entry is None or entry.state is EndpointState.DRAINING:
-            # It left as it had said.
+            # An announced departure is not a crash.
             return Liveness.ALIVE
         try:
             connection = await self.pool.connect_anew(entry.address)
@@ -29,5 +29,5 @@
             log_message(message_type="endpoint:unknown", endpoint=endpoint, error=repr(exc))
             return Liveness.UNKNOWN
         connection.abandon()
-        # Another process may have the address by now.
+        # The address may have been reused by another process.
         return Liveness.ALIVE if self.registry.is_current(entry) else Liveness.UNKNOWN
--- a/src/guavacleat/membership/records.py
+++ b/src/guavacleat/membership/records.py
@@ -1,4 +1,4 @@
-"""The endpoint record a sidecar keeps in the object API under ``endpoints/<name>``."""
+"""The endpoint record that a sidecar stores in the object API under ``endpoints/<name>``."""
 
 __all__ = ["EndpointRecord", "ENDPOINT_KIND"]
 
@@ -6,15 +6,15 @@
 
 
 class EndpointRecord:
-    """One endpoint as its sidecar announces it.
+    """An endpoint as registered by its sidecar.
 
     :param address: ``host:port`` of the sidecar's thrift listener.
-    :param draining: true once the endpoint is leaving; it must get no new work.
-    :param beat: heartbeat counter, +1 on each renewal, so every renewal is a visible change.
-    :param instance: the platform's name for the instance, as its list of instances gives it.
-    :param session: unique per start of the sidecar; tells its own writes from another holder's.
-    :param displaced: sessions that held the record before, the last one first. A session whose
-        write got no answer learns from it that the write was done, and that it lost the record.
+    :param draining: true once the endpoint is leaving; it must get no new requests.
+    :param beat: heartbeat counter, incremented by each renewal, so that each renewal is a change.
+    :param instance: the instance's name in the platform's list of instances.
+    :param session: unique per start of the sidecar.
+    :param displaced: sessions that held the record before, newest first. A session whose write was
+        not answered learns from it that the write was done and that it has lost the record.
     """
 
     __slots__ = (
@@ -52,7 +52,7 @@
         self.displaced = tuple(displaced)
 
     def is_older(self, other: "EndpointRecord") -> bool:
-        """Whether the same start of the sidecar wrote ``other`` later."""
+        """Whether ``other`` is a later write of the same session."""
         return bool(self.session) and self.session == other.session and self.beat < other.beat
 
     def to_json(self) -> dict:
@@ -60,5 +60,5 @@
 
     @classmethod
     def from_json(cls, body: dict) -> "EndpointRecord":
-        """Build a record; fields a newer release added and this one lacks are ignored."""
+        """Build a record; fields unknown to this release are ignored."""
         return cls(**{slot: body[slot] for slot in cls.__slots__ if slot in body})
--- a/src/guavacleat/membership/registry.py
+++ b/src/guavacleat/membership/registry.py
@@ -1,15 +1,13 @@
-"""Endpoints that register themselves in the object API, as one gateway knows them.
-
-An entry that disappears usually means that its endpoint is leaving. While the store is away,
-though, entries lapse although their endpoints live; those come back within
-``REREGISTRATION_SECONDS`` of
-the store's return. Entries removed in that time are kept until it has passed: dropping them at
-once would leave a gateway without any endpoint just after an outage.
-
-An endpoint may start again under the id that it had. Its entry then tells another start, and
-nothing holds that was believed of the process before. An entry that nobody can read names no
-endpoint to use, although the endpoint may be there: it gets no new work, and what runs on it goes
-on.
+"""A gateway's registry of the endpoints that register themselves in the object API.
+
+A removed entry usually means that its endpoint is leaving. During an outage of the store, however,
+entries lapse while their endpoints run; those register again within ``REREGISTRATION_SECONDS``
+after the outage. Entries removed in that time are kept until it has passed, as otherwise a gateway
+would have no endpoints just after an outage.
+
+An endpoint may restart with the same id. Its entry then has another start time, and the state of
+the previous process no longer applies. An endpoint whose entry is unreadable gets no new requests;
+requests in progress on it continue.
 """
 
 import enum
@@ -28,32 +26,32 @@
     "REREGISTRATION_SECONDS",
 ]
 
-# Time that live endpoints need to register again after an outage of the store: two seconds by
-# the platform's word, and a margin for the watch that brings the news.
+# Live endpoints register again within two seconds after an outage of the store, as the platform
+# documents; the rest is a margin for the watch's delay.
 REREGISTRATION_SECONDS = 2.3
-# How long a change is told to peers: longer than a gateway is usually cut off from the store.
+# How long a change is gossiped; longer than the usual partition between a gateway and the store.
 CHANGE_RETENTION_SECONDS = 15.0
-# A gateway whose calls of the store failed leaves listening to others for so long.
+# After a failed store call a gateway is not selected as a watcher for this time.
 UNREACHABLE_SECONDS = 5.0
 
 
 class EndpointState(enum.Enum):
-    """Whether an endpoint takes new work."""
+    """Whether an endpoint takes new requests."""
 
     READY = "ready"
     DRAINING = "draining"
-    # The entry is not the endpoint's own or cannot be read; whether the endpoint leaves is unknown.
+    # The entry is unreadable or not the endpoint's own; whether the endpoint is leaving is unknown.
     UNUSABLE = "unusable"
 
 
 class EndpointEntry:
     """One incarnation of an endpoint.
 
-    :param id: the endpoint's id; most restarts have another.
-    :param address: ``(ip, port)`` of its HTTP listener; may later belong to another service.
-    :param slots: requests it processes at a time.
-    :param revision: the store's revision of the entry; a later one replaces it.
-    :param started_ms: Unix millisecond at which its process started; None if it does not say.
+    :param id: the endpoint's id; it usually changes with a restart.
+    :param address: ``(ip, port)`` of its HTTP listener; may later be reused by another service.
+    :param slots: number of requests it processes concurrently.
+    :param revision: the store's revision of the entry.
+    :param started_ms: start time of its process in Unix milliseconds; None if unknown.
     """
 
     __slots__ = (
@@ -88,17 +86,17 @@
         self.started_ms = started_ms
 
     def is_same_process(self, other: "EndpointEntry") -> bool:
-        """Whether both entries tell of the same start of the same endpoint."""
+        """Whether both entries describe the same process."""
         return self.id == other.id and self.started_ms == other.started_ms
 
     def started_before(self, other: "EndpointEntry") -> bool:
-        """Whether this entry is of an earlier start; False where either does not say."""
+        """Whether this entry's process started earlier; False if a start time is unknown."""
         if self.started_ms is None or other.started_ms is None:
             return False
         return self.started_ms < other.started_ms
 
     def in_state(self, state: EndpointState, revision: int) -> "EndpointEntry":
-        """The same process, in ``state`` since ``revision``."""
+        """A copy of this entry with another state and revision."""
         return EndpointEntry(
             self.id,
             self.service,
@@ -112,7 +110,7 @@
 
 
 class EndpointChange:
-    """The newest that is known of an endpoint: its entry, or None if it is gone."""
+    """The latest known state of an endpoint: its entry, or None if it was removed."""
 
     __slots__ = ("id", "revision", "entry", "at")
 
@@ -124,13 +122,11 @@
 
 
 class EndpointRegistry:
-    """Entries by id; tells ``on_leaving(entry)`` once about each endpoint that will go.
+    """Endpoint entries by id, from the store and from peers (:meth:`observe_peer_change`).
 
-    ``on_restarted(entry)`` hears the former entry of an endpoint that started again under its id.
-    ``on_change()`` is called when something changed that peers should hear of. A gateway that is
-    cut off from the store learns from its peers (:meth:`hear`) that an endpoint is leaving or has
-    come; without that it lost every stream on engines that were taken away meanwhile, and kept
-    sending to them.
+    ``on_leaving(entry)`` is called once per incarnation that is leaving or was removed,
+    ``on_restarted(previous)`` with the previous entry of an endpoint that restarted with the same
+    id, and ``on_change()`` after each change to be gossiped.
     """
 
     def __init__(self, clock: IReactorTime, on_leaving=None, on_restarted=None):
@@ -139,31 +135,30 @@
         self.on_restarted = on_restarted or (lambda entry: None)
         self.entries_by_id: dict[str, EndpointEntry] = {}
         self.on_change = lambda: None
-        self.left_ids: set[str] = set()
-        # Clock time at which an endpoint of each service was last heard to be leaving.
-        self.left_at_by_service: dict[str, float] = {}
+        self.leaving_ids: set[str] = set()
+        self.last_leaving_at_by_service: dict[str, float] = {}
         self.changes_by_id: dict[str, EndpointChange] = {}
         self.lapsed_ids: set[str] = set()
-        # Ids whose entries cannot be read, so that each is told once and not with each heartbeat.
+        # Ids with an unreadable entry; each is logged once, not at each heartbeat.
         self.unreadable_ids: set[str] = set()
-        # None until it is heard: a gateway with a routes file has no store to hear.
-        # Revisions of the entries, by id, that came back with a copy of the store.
-        self.copied_by_id: dict[str, Revision] = {}
-        self.store_heard_at: float | None = None
+        # Revisions of outdated entries from a restored backup of the store.
+        self.backup_revisions_by_id: dict[str, Revision] = {}
+        # None until the store first answers; a gateway with a routes file has no store.
+        self.store_answered_at: float | None = None
         self.store_lost_at: float | None = None
-        self.store_back_at: float | None = None
+        self.store_recovered_at: float | None = None
         self.store_failed_at: float | None = None
 
     def observe(self, entry: EndpointEntry) -> None:
-        """Take in an entry as the store holds it, unless a later one is known."""
+        """Apply an entry from the store unless a later one is known."""
         known = self.changes_by_id.get(entry.id)
         if known is not None and known.revision > entry.revision:
             return
         previous = self.entries_by_id.get(entry.id)
-        if self._is_copied(entry, known, previous):
+        if self._is_from_backup(entry, known, previous):
             return
         if previous is not None and entry.started_before(previous):
-            # A heartbeat of the former process, written late: what it says holds no more.
+            # A delayed heartbeat of the previous process.
             return
         if entry.state is not EndpointState.UNUSABLE:
             self.unreadable_ids.discard(entry.id)
@@ -171,20 +166,20 @@
         self.entries_by_id[entry.id] = entry
         restarted = previous is not None and previous.started_before(entry)
         if restarted:
-            self._restarted(previous)
+            self._report_restart(previous)
         if restarted or previous is None or previous.state is not entry.state:
             self._log(entry, entry.state.value)
-            self._note(entry.id, entry.revision, entry)
+            self._record_change(entry.id, entry.revision, entry)
         if entry.state is EndpointState.DRAINING:
-            self._leaving(entry)
+            self._report_leaving(entry)
         elif entry.state is EndpointState.READY:
-            self.left_ids.discard(entry.id)
+            self.leaving_ids.discard(entry.id)
 
-    def _is_copied(self, entry, known: EndpointChange | None, previous) -> bool:
-        """Whether an entry says what held before it is known to have ended, or to leave.
+    def _is_from_backup(self, entry, known: EndpointChange | None, previous) -> bool:
+        """Whether an entry predates the known removal or drain of its endpoint.
 
-        A store that comes back from a copy has such entries. An endpoint that lives writes its own
-        again within a second or so, and is then believed.
+        A store that was restored from a backup contains such entries. A live endpoint soon writes
+        its entry again with a later revision, which is accepted.
         """
         is_gone = known is not None and known.entry is None
         leaves = previous is not None and previous.state is EndpointState.DRAINING
@@ -195,10 +190,10 @@
         era = Revision(entry.revision).era
         if Revision(known.revision if is_gone else previous.revision).era >= era:
             return False
-        return entry.revision <= self.copied_by_id.setdefault(entry.id, entry.revision)
+        return entry.revision <= self.backup_revisions_by_id.setdefault(entry.id, entry.revision)
 
     def observe_unreadable(self, id: str, revision: int, error: str) -> None:
-        """Take in that the store's entry of this id cannot be read."""
+        """Mark an endpoint as unusable because its entry in the store is unreadable."""
         if id not in self.unreadable_ids:
             self.unreadable_ids.add(id)
             log_message(message_type="endpoint:unreadable", endpoint=id, error=error)
@@ -208,70 +203,76 @@
         self.observe(entry.in_state(EndpointState.UNUSABLE, revision))
 
     def observe_leaving(self, entry: EndpointEntry) -> None:
-        """Take in that the endpoint itself says that it leaves, while the store cannot tell.
+        """Mark an endpoint as draining that reported so itself while the store was unreachable.
 
-        Peers take it for the change that follows the entry: no write to the store can have a lower
-        revision.
+        The change gets the revision after the entry's, so that any later write in the store
+        supersedes it, here and at peers.
         """
         self.observe(entry.in_state(EndpointState.DRAINING, entry.revision + 1))
 
     @property
     def store_away(self) -> bool:
-        """Whether the store did not answer the last call of the watch."""
+        """Whether the last watch call failed."""
         return self.store_lost_at is not None
 
     def store_silence(self) -> float:
-        """Seconds since the store last answered; 0 while it never did."""
-        if self.store_heard_at is None:
+        """Seconds since the store last answered; 0 before its first answer."""
+        if self.store_answered_at is None:
             return 0.0
-        return self.clock.seconds() - self.store_heard_at
+        return self.clock.seconds() - self.store_answered_at
 
     def is_current(self, entry: EndpointEntry) -> bool:
-        """Whether the process of ``entry`` is the one known under its id."""
+        """Whether ``entry`` describes the current process with its id."""
         current = self.entries_by_id.get(entry.id)
         return current is not None and current.is_same_process(entry)
 
-    def _restarted(self, former: EndpointEntry) -> None:
-        self.left_ids.discard(former.id)
-        self._log(former, "restarted")
-        self.on_restarted(former)
+    def _report_restart(self, replaced: EndpointEntry) -> None:
+        self.leaving_ids.discard(replaced.id)
+        self._log(replaced, "restarted")
+        self.on_restarted(replaced)
 
     def remove(self, id: str, revision: int = 0) -> None:
-        """Take in that the store holds no entry of this id any more, since ``revision``."""
+        """Apply the removal of an entry from the store at ``revision`` (0: unknown)."""
         self.unreadable_ids.discard(id)
         entry = self.entries_by_id.get(id)
         if entry is None or id in self.lapsed_ids:
             return
         if revision and entry.revision > revision:
-            # A peer told already that the endpoint is back.
+            # A peer has already reported a later registration.
             return
         if entry.state is EndpointState.READY and self._may_have_lapsed():
             self.lapsed_ids.add(id)
             self._log(entry, "lapsed")
-            self.clock.callLater(self._return_time_left(), self._drop_if_lapsed, id)
+            self.clock.callLater(self._reregistration_time_left(), self._drop_if_lapsed, id)
             return
         self._drop(id, revision)
 
-    def observe_peer_change(self, change: EndpointChange, known_to: int | None = None) -> None:
-        """Take in what a peer learnt from the store, unless as much is known here.
+    def observe_peer_change(
+        self, change: EndpointChange, complete_to_revision: int | None = None
+    ) -> None:
+        """Apply a change that a peer learnt from the store, unless it is already known.
 
-        :param known_to: the store's revision up to which everything is known here. An endpoint that
-            is none of those known then was removed, and the peer has not heard of that.
+        :param complete_to_revision: the store's revision up to which this gateway knows all
+            changes. An unknown endpoint with an earlier revision was removed before it.
         """
         known = self.changes_by_id.get(change.id)
         if known is not None and known.revision >= change.revision:
             return
         entry = self.entries_by_id.get(change.id)
         if change.entry is not None:
-            if entry is not None or known_to is None or change.revision > known_to:
+            if (
+                entry is not None
+                or complete_to_revision is None
+                or change.revision > complete_to_revision
+            ):
                 self.observe(change.entry)
             return
-        # An endpoint may register again under its id before the peer's word of its end arrives.
+        # The endpoint may have registered again since the removal that the peer reports.
         if entry is not None and entry.revision <= change.revision:
             self._drop(change.id, change.revision)
 
     def recent_changes(self, seconds: float = CHANGE_RETENTION_SECONDS) -> list[EndpointChange]:
-        """Changes of the last ``seconds``, for peers; what is older than all is forgotten."""
+        """Changes of the last ``seconds``, to be gossiped; discards expired removals."""
         now = self.clock.seconds()
         oldest = now - CHANGE_RETENTION_SECONDS
         old = [
@@ -284,9 +285,9 @@
         return [change for change in self.changes_by_id.values() if change.at >= now - seconds]
 
     def observe_listing(self, ids: set[str], revision: int | None = None) -> None:
-        """Take in a whole listing: every entry not in it is gone.
+        """Remove all entries that are not in a listing.
 
-        What a peer told of later than the listing's ``revision`` is left as it is.
+        Entries later than the listing's ``revision``, as reported by peers, are kept.
         """
         self.unreadable_ids &= ids
         for id in set(self.entries_by_id) - ids:
@@ -294,12 +295,12 @@
                 self.remove(id)
 
     def record_store_call(self, healthy: bool) -> None:
-        """Hear whether the store answered some call."""
+        """Record whether the store answered a call."""
         if healthy:
-            self.store_heard_at = self.clock.seconds()
+            self.store_answered_at = self.clock.seconds()
 
     def record_store_health(self, healthy: bool) -> None:
-        """Hear whether the store answered the last call of the watch."""
+        """Record whether the store answered the last watch call."""
         now = self.clock.seconds()
         self.record_store_call(healthy)
         self.store_failed_at = None if healthy else now
@@ -307,69 +308,70 @@
             self.store_lost_at = now
             log_message(message_type="store:lost")
         elif healthy:
-            self._store_is_back()
+            self._record_store_recovery()
 
     def record_store_reached_by_peer(self, at: float) -> None:
-        """Hear that the store answered a peer at clock time ``at``.
+        """Record that the store answered a peer at clock time ``at``.
 
-        A gateway that no longer asks would believe the store away until it asks again, and then
-        take what was removed meanwhile for lapsed.
+        A gateway that is not a watcher makes no calls itself. It would otherwise still consider
+        the store unreachable at its next call, and treat entries removed until then as lapsed.
         """
         if self.store_lost_at is not None and at > self.store_lost_at:
-            self._store_is_back()
+            self._record_store_recovery()
 
     def store_restored(self) -> None:
-        """Hear that the store came back from a copy: endpoints that came since write again."""
-        self.copied_by_id.clear()
-        self.store_back_at = self.clock.seconds()
+        """Record that the store was restored from a backup; live endpoints register again."""
+        self.backup_revisions_by_id.clear()
+        self.store_recovered_at = self.clock.seconds()
 
     def record_store_silence(self) -> None:
-        """Hear, on a gateway that does not ask the store itself, that nobody hears it just now.
+        """Record, on a gateway that is not a watcher, that no gateway has answers from the store.
 
-        Entries may lapse meanwhile, which this gateway would take for removed if it asked next.
+        Entries may lapse meanwhile; this gateway would otherwise treat them as removed after its
+        next call.
         """
         if self.store_lost_at is None:
-            self.store_back_at = self.clock.seconds()
+            self.store_recovered_at = self.clock.seconds()
 
-    def _store_is_back(self) -> None:
+    def _record_store_recovery(self) -> None:
         if self.store_lost_at is None:
             return
         now = self.clock.seconds()
         log_message(message_type="store:back", outage=round(now - self.store_lost_at, 3))
         self.store_lost_at = None
-        self.store_back_at = now
+        self.store_recovered_at = now
 
     def store_unreachable(self) -> bool:
-        """Whether this gateway's own calls of the store failed lately."""
+        """Whether a store call of this gateway failed within ``UNREACHABLE_SECONDS``."""
         failed_at = self.store_failed_at
         return failed_at is not None and self.clock.seconds() - failed_at < UNREACHABLE_SECONDS
 
     def remove_stale(self, id: str) -> None:
-        """Another incarnation answered at this endpoint's address: the entry is out of date."""
+        """Remove an entry because another incarnation answered at its address."""
         if id in self.entries_by_id:
             self._drop(id)
 
     def ready(self, service: str) -> list[EndpointEntry]:
-        """Endpoints of ``service`` that take new work."""
+        """Endpoints of ``service`` that take new requests."""
         return [entry for entry in self.all_ready() if entry.service == service]
 
     def all_ready(self) -> list[EndpointEntry]:
-        """Endpoints of all services that take new work."""
+        """Endpoints of all services that take new requests."""
         return [
             entry for entry in self.entries_by_id.values() if entry.state is EndpointState.READY
         ]
 
     def seconds_since_leaving(self, service: str) -> float:
-        """Time since an endpoint of the service was last heard to be leaving."""
-        return self.clock.seconds() - self.left_at_by_service.get(service, float("-inf"))
+        """Seconds since an endpoint of the service was last reported as leaving."""
+        return self.clock.seconds() - self.last_leaving_at_by_service.get(service, float("-inf"))
 
     def _may_have_lapsed(self) -> bool:
-        return self.store_away or self._return_time_left() > 0
+        return self.store_away or self._reregistration_time_left() > 0
 
-    def _return_time_left(self) -> float:
-        if self.store_back_at is None:
+    def _reregistration_time_left(self) -> float:
+        if self.store_recovered_at is None:
             return 0.0
-        return max(0.0, self.store_back_at + REREGISTRATION_SECONDS - self.clock.seconds())
+        return max(0.0, self.store_recovered_at + REREGISTRATION_SECONDS - self.clock.seconds())
 
     def _drop_if_lapsed(self, id: str) -> None:
         if id in self.lapsed_ids:
@@ -379,18 +381,18 @@
         self.lapsed_ids.discard(id)
         entry = self.entries_by_id.pop(id)
         self._log(entry, "gone")
-        self._note(id, max(revision, entry.revision + 1), None)
-        self._leaving(entry)
-        self.left_ids.discard(id)
+        self._record_change(id, max(revision, entry.revision + 1), None)
+        self._report_leaving(entry)
+        self.leaving_ids.discard(id)
 
-    def _note(self, id: str, revision: int, entry: EndpointEntry | None) -> None:
+    def _record_change(self, id: str, revision: int, entry: EndpointEntry | None) -> None:
         self.changes_by_id[id] = EndpointChange(id, revision, entry, self.clock.seconds())
         self.on_change()
 
-    def _leaving(self, entry: EndpointEntry) -> None:
-        if entry.id not in self.left_ids:
-            self.left_ids.add(entry.id)
-            self.left_at_by_service[entry.service] = self.clock.seconds()
+    def _report_leaving(self, entry: EndpointEntry) -> None:
+        if entry.id not in self.leaving_ids:
+            self.leaving_ids.add(entry.id)
+            self.last_leaving_at_by_service[entry.service] = self.clock.seconds()
             self.on_leaving(entry)
 
     def _log(self, entry: EndpointEntry, state: str) -> None:
--- a/src/guavacleat/membership/view.py
+++ b/src/guavacleat/membership/view.py
@@ -1,12 +1,13 @@
-"""The gateway's view of endpoints: records watched in the object API, timed by its own clock.
-
-A record is live while it was renewed within ``LEASE_SECONDS`` as this gateway's clock measures
-it. Judging by the reader's own clock means writers' clocks never need to agree; a sidecar that
-stops renewing (dead, paused, cut off) drops out within one lease period plus the watch delay.
-Records are indexed by service. Of a large service a gateway works with ``SUBSET`` endpoints, the
-first live ones in an order that hashes the gateway's own name with theirs: a routing decision
-then costs the same however large the fleet, every endpoint is in about as many gateways' subsets
-as any other, and when one dies the next in the order takes its place.
+"""The gateway's view of endpoints: records watched in the object API, with local lease expiry.
+
+A record is live if it was renewed within ``LEASE_SECONDS`` by this gateway's own clock, so that
+clocks need not be synchronised. A sidecar that stops renewing (crashed, paused, partitioned)
+expires within one lease period plus the watch delay.
+
+For a large service, a gateway uses a subset of ``SUBSET`` endpoints: the first live ones, ordered
+by a hash of the gateway's and the endpoint's names. This bounds the cost of a routing decision and
+spreads the endpoints evenly over the gateways; an endpoint that fails is replaced by the next one
+in the order.
 """
 
 import hashlib
@@ -24,9 +25,9 @@
 
 
 class MembershipView:
-    """Endpoint records by name, the names by service, and when this gateway last saw each.
+    """Endpoint records and the times of their last renewals.
 
-    :param owner: this gateway's name, which decides its subset of large services.
+    :param owner: this gateway's name, which determines its subset of large services.
     """
 
     def __init__(self, clock: IReactorTime, owner: str = ""):
@@ -40,11 +41,11 @@
         self.leaving_instances: frozenset[str] = frozenset()
 
     def observe(self, value: dict) -> None:
-        """Take in one record from a watch or a listing."""
+        """Apply a record from a watch or a listing."""
         record = EndpointRecord.from_json(value)
         previous = self.records_by_name.get(record.name)
         if previous is not None and record.is_older(previous):
-            # The store came back from a copy.
+            # The store was restored from a backup.
             return
         if previous is None or previous.draining != record.draining:
             log_message(
@@ -61,11 +62,11 @@
             self.ordered_by_service.pop(record.service, None)
 
     def record_store_health(self, healthy: bool) -> None:
-        """Hear from the watch whether the store answered.
+        """Record whether the store answered the watch.
 
-        During an outage no renewal can arrive, so lease ages stop: the view keeps the last known
-        endpoints (the data path still finds dead ones, and a request refused by one endpoint
-        moves to the next). When the store answers again, ages resume where they stopped.
+        During an outage no renewals arrive, so that lease expiry is suspended: the view keeps the
+        last known endpoints, and the data path detects failed ones. Expiry resumes with the ages
+        at the start of the outage when the store answers again.
         """
         now = self.clock.seconds()
         if not healthy and self.store_lost_at is None:
@@ -78,10 +79,10 @@
             log_message(message_type="membership:store-back", outage=outage)
 
     def instances_leaving(self, names: set[str]) -> None:
-        """Take in which instances the platform's list shows as leaving.
+        """Set the instances that the platform lists as leaving.
 
-        The list names instances, not endpoints: it lags, so it may still show the instance an
-        endpoint had before it was replaced, which must not take the replacement out of service.
+        The list lags: it may still name an endpoint's previous instance, which must not affect the
+        replacement. Endpoints are therefore matched by instance, not by name.
         """
         if names != self.leaving_instances:
             log_message(message_type="membership:leaving", instances=sorted(names))
@@ -95,7 +96,7 @@
         )
 
     def live(self, service: str) -> list[EndpointRecord]:
-        """This gateway's endpoints of ``service`` that were renewed in time and are not leaving."""
+        """This gateway's subset of the live endpoints of ``service`` that are not leaving."""
         now = self.clock.seconds() if self.store_lost_at is None else self.store_lost_at
         oldest = now - LEASE_SECONDS
         records = map(self.records_by_name.__getitem__, self._ordered(service))
@@ -105,11 +106,11 @@
     def _ordered(self, service: str) -> list[str]:
         ordered = self.ordered_by_service.get(service)
         if ordered is None:
-            ordered = sorted(self.names_by_service.get(service, ()), key=self._place)
+            ordered = sorted(self.names_by_service.get(service, ()), key=self._order_key)
             self.ordered_by_service[service] = ordered
         return ordered
 
-    def _place(self, name: str) -> bytes:
+    def _order_key(self, name: str) -> bytes:
         return hashlib.blake2b(f"{self.owner}|{name}".encode(), digest_size=8).digest()
 
     def all_live(self) -> list[EndpointRecord]:
--- a/src/guavacleat/rendezvous.py
+++ b/src/guavacleat/rendezvous.py
@@ -1,7 +1,7 @@
-"""Rendezvous hashing: who of several does a task, decided by each alone.
+"""Rendezvous (highest random weight) hashing.
 
-All who know of the same members choose alike, without talking, and a task changes hands only if
-the one who has it goes.
+Processes with the same member list assign a task to the same members without communicating. A
+task is reassigned only when a member assigned to it leaves or one with a higher weight joins.
 """
 
 import functools
@@ -11,16 +11,16 @@
 
 __all__ = ["select_members", "weight"]
 
-# Pairs of member and task whose ranks are kept.
-RANKS_KEPT = 4096
+# Entries, one per (member, task) pair.
+WEIGHT_CACHE_SIZE = 4096
 
 
-@functools.lru_cache(RANKS_KEPT)
+@functools.lru_cache(WEIGHT_CACHE_SIZE)
 def weight(member: str, task: str) -> bytes:
-    """The member's rank for a task: the highest is chosen first."""
+    """The member's weight for a task; the highest weight is selected first."""
     return hashlib.blake2b(f"{member}|{task}".encode(), digest_size=8).digest()
 
 
 def select_members(members: Iterable[str], task: str, count: int = 1) -> list[str]:
-    """The first ``count`` members for a task, fewer if there are no more."""
+    """The ``count`` members with the highest weights for a task, or all if there are fewer."""
     return heapq.nlargest(count, members, key=lambda member: weight(member, task))
--- a/tests/membership/test_lease.py
+++ b/tests/membership/test_lease.py
@@ -1,4 +1,4 @@
-"""The lease of an endpoint between sidecar sessions, under pauses and store faults."""
+"""The endpoint lease: takeovers between sidecar sessions under pauses and store faults."""
 
 import itertools
 
@@ -19,12 +19,10 @@
     return Lease(clock, store, record)
 
 
-def test_paused_sidecar_does_not_take_its_endpoint_back(clock, store, store_app, stub_http):
-    """
-    Symptom: requests flip between a replaced instance and its replacement every second.
-    Sequence: the sidecar is paused past its lease; a replacement starts and takes the endpoint;
-    the paused one wakes and renews.
-    Cause: on a conflict it read the record again and overwrote it with its own address.
+def test_paused_sidecar_does_not_reclaim_its_lease(clock, store, store_app, stub_http):
+    """Guards against requests that alternate between a replaced sidecar and its replacement.
+
+    A sidecar resumed after its lease was taken over must not overwrite the record.
     """
     paused, replacement = make_lease(clock, store, "old"), make_lease(clock, store, "new")
     for lease in (paused, replacement, paused, paused, replacement, paused):
@@ -33,15 +31,13 @@
     assert paused.superseded and not replacement.superseded
 
 
-def test_a_session_that_was_displaced_after_an_unanswered_write_does_not_come_back(
+def test_a_session_displaced_after_an_unanswered_write_does_not_reclaim_the_lease(
     clock, store, store_app, stub_http
 ):
-    """
-    Symptom: requests go to a replacement, back to the session before it, and to it again.
-    Sequence: the first session creates the record and gets no answer; another one displaces it; the
-    first one, which does not know that it ever held the record, writes over it.
-    Cause: a record does not tell which sessions it displaced, so that a session cannot know that
-    its unanswered write had been done. Found by the state machine with fresh draws.
+    """Guards against a displaced session that overwrites the record of its replacement.
+
+    The session's own write succeeded but its answer was lost; only the record's displaced sessions
+    show that it once held the lease.
     """
     first, second = make_lease(clock, store, "first"), make_lease(clock, store, "second")
     store_app.faults.lose_acks = 1
@@ -53,7 +49,7 @@
 
 
 class LeaseMachine(RuleBasedStateMachine):
-    """Sessions start, renew, pause (by not being chosen) and meet lost answers and outages."""
+    """Sessions start, renew and pause (by not being drawn), with lost answers and outages."""
 
     @initialize()
     def setup(self):
@@ -85,12 +81,12 @@
             self.holders.append(holder)
 
     @invariant()
-    def each_session_holds_once(self):
+    def each_session_holds_the_lease_once(self):
         holders = getattr(self, "holders", [])
-        assert len(holders) == len(set(holders)), f"the lease went back: {holders}"
+        assert len(holders) == len(set(holders)), f"a session held the lease twice: {holders}"
 
     @invariant()
-    def somebody_can_serve(self):
+    def some_session_is_not_superseded(self):
         leases = getattr(self, "leases", [])
         assert not leases or not all(lease.superseded for lease in leases)
 
--- a/tests/membership/test_registry.py
+++ b/tests/membership/test_registry.py
@@ -1,4 +1,4 @@
-"""Endpoints that register themselves: leaving, lapsing with the store, coming back."""
+"""The endpoint registry: drains, removals, store outages, restarts and peers' changes."""
 
 import pytest
 from hypothesis import settings
@@ -20,13 +20,13 @@
 
 
 @pytest.fixture
-def left():
+def leaving():
     return []
 
 
 @pytest.fixture
-def registry(clock, left):
-    registry = EndpointRegistry(clock, left.append)
+def registry(clock, leaving):
+    registry = EndpointRegistry(clock, leaving.append)
     registry.observe(make_entry("e1"))
     registry.observe(make_entry("e2"))
     return registry
@@ -36,31 +36,27 @@
     return [found.id for found in registry.ready("svc")]
 
 
-def test_a_draining_endpoint_gets_no_new_work_and_is_told_once(registry, left):
+def test_a_draining_endpoint_gets_no_new_requests_and_is_reported_once(registry, leaving):
     registry.observe(make_entry("e1", state=DRAINING))
     registry.observe(make_entry("e1", state=DRAINING))
     registry.remove("e1")
     assert ready_ids(registry) == ["e2"]
-    assert [found.id for found in left] == ["e1"]
+    assert [found.id for found in leaving] == ["e1"]
 
 
-def test_an_endpoint_removed_without_notice_is_leaving_too(registry, left):
-    """
-    Symptom: requests go to an endpoint that is gone.
-    Sequence: an endpoint never reports that it drains; its entry is removed.
-    Cause: the removal is all the notice there is.
-    """
+def test_an_endpoint_removed_without_draining_is_reported_as_leaving(registry, leaving):
+    """Guards against requests to an endpoint whose entry was removed without a drain."""
     registry.remove("e1")
     assert ready_ids(registry) == ["e2"]
-    assert [found.id for found in left] == ["e1"]
+    assert [found.id for found in leaving] == ["e1"]
 
 
-def test_entries_that_lapse_in_an_outage_are_kept_until_they_could_be_back(registry, clock, left):
-    """
-    Symptom: a gateway has no endpoint right after an outage of the store.
-    Sequence: the store is away longer than the entries last; it comes back without them; the
-    endpoints register again within two seconds, but for one.
-    Cause: a removal in that time says nothing of the endpoint; one still missing later is gone.
+def test_entries_that_lapse_in_an_outage_are_kept_until_they_could_register_again(
+    registry, clock, leaving
+):
+    """Guards against a gateway without endpoints just after a store outage in which entries lapsed.
+
+    An endpoint that has not registered again in time is removed.
     """
     registry.record_store_health(False)
     clock.advance(5)
@@ -71,10 +67,10 @@
     registry.observe(make_entry("e1"))
     clock.advance(REREGISTRATION_SECONDS)
     assert ready_ids(registry) == ["e1"]
-    assert [found.id for found in left] == ["e2"]
+    assert [found.id for found in leaving] == ["e2"]
 
 
-def test_a_draining_entry_that_vanishes_in_an_outage_is_gone(registry, clock):
+def test_a_draining_entry_that_lapses_in_an_outage_is_removed(registry, clock):
     registry.observe(make_entry("e1", state=DRAINING))
     registry.record_store_health(False)
     registry.record_store_health(True)
@@ -82,28 +78,19 @@
     assert "e1" not in registry.entries_by_id
 
 
-def test_a_listing_drops_what_was_removed_unseen(registry):
+def test_a_listing_removes_entries_whose_removal_was_missed(registry):
     registry.observe_listing({"e2"})
     assert ready_ids(registry) == ["e2"]
 
 
-def test_an_address_used_again_belongs_to_the_newer_entry_only(registry):
-    """
-    Symptom: a request of one service is run by another.
-    Sequence: an endpoint is gone; its address is given to an endpoint of another service, which
-    answers that it is not the one expected.
-    Cause: the old entry must not be used again.
-    """
+def test_a_stale_entry_with_a_reused_address_is_removed(registry):
+    """Guards against requests that reach another service at a reused address."""
     registry.remove_stale("e1")
     assert ready_ids(registry) == ["e2"]
 
 
-def test_the_latest_revision_of_an_endpoint_counts(registry):
-    """
-    Symptom: an endpoint that left gets new work.
-    Sequence: it drains and is removed; a peer that heard later of less still tells it as ready.
-    Cause: what is known of an endpoint may only be replaced by a later revision.
-    """
+def test_a_peers_older_revision_does_not_replace_a_later_one(registry):
+    """Guards against new requests to an endpoint that a peer with older data reports as ready."""
     registry.observe(make_entry("e1", revision=5, state=DRAINING))
     registry.observe_peer_change(EndpointChange("e1", 4, make_entry("e1", revision=4)))
     assert ready_ids(registry) == ["e2"]
@@ -112,14 +99,14 @@
     assert ready_ids(registry) == ["e2"]
 
 
-def test_an_endpoint_that_a_peer_knows_to_be_gone_is_gone_also_in_an_outage(registry, left):
+def test_a_removal_reported_by_a_peer_applies_during_an_outage(registry, leaving):
     registry.record_store_health(False)
     registry.observe_peer_change(EndpointChange("e1", 9, None))
     assert ready_ids(registry) == ["e2"]
-    assert [found.id for found in left] == ["e1"]
+    assert [found.id for found in leaving] == ["e1"]
 
 
-def test_changes_are_told_for_a_time_and_then_forgotten(registry, clock):
+def test_recent_changes_expire(registry, clock):
     registry.remove("e1", revision=4)
     assert {change.id for change in registry.recent_changes()} == {"e1", "e2"}
     clock.advance(CHANGE_RETENTION_SECONDS + 1)
@@ -128,52 +115,45 @@
 
 
 @pytest.fixture
-def restarted(registry):
-    restarted = []
-    registry.on_restarted = restarted.append
-    return restarted
+def restarted_entries(registry):
+    restarted_entries = []
+    registry.on_restarted = restarted_entries.append
+    return restarted_entries
 
 
-def test_an_endpoint_that_starts_again_under_its_id_is_told(registry, restarted, left):
-    """
-    Symptom: streams on an engine that crashed wait for events that never come.
-    Sequence: an engine crashes and starts again, under the id that it had, before its entry lapses.
-    Cause: its entry looks as before but for the time of its start.
+def test_a_restart_with_the_same_id_is_reported(registry, restarted_entries, leaving):
+    """Guards against streams that wait forever on an engine that crashed and restarted.
+
+    The engine keeps its id and restarts before its entry lapses; only the start time differs.
     """
     registry.observe(make_entry("e1", revision=5, started_ms=1000))
     registry.observe(make_entry("e1", revision=6, started_ms=2000))
-    assert [former.started_ms for former in restarted] == [1000]
+    assert [previous.started_ms for previous in restarted_entries] == [1000]
     assert ready_ids(registry) == ["e1", "e2"]
-    assert left == []
+    assert leaving == []
 
 
-def test_one_that_was_leaving_takes_work_after_it_started_again(registry, restarted, left):
+def test_a_draining_endpoint_takes_requests_after_its_restart(registry, restarted_entries, leaving):
     registry.observe(make_entry("e1", revision=5, state=DRAINING, started_ms=1000))
     registry.observe(make_entry("e1", revision=6, started_ms=2000))
     assert ready_ids(registry) == ["e1", "e2"]
     registry.observe(make_entry("e1", revision=7, state=DRAINING, started_ms=2000))
-    assert [found.started_ms for found in left] == [1000, 2000]
+    assert [found.started_ms for found in leaving] == [1000, 2000]
 
 
-def test_a_late_heartbeat_of_the_former_process_says_nothing(registry, restarted):
-    """
-    Symptom: an engine that just started gets no work, and its streams are moved off.
-    Sequence: its former process wrote that it drains; that write takes effect seconds later.
-    Cause: the store's revision is newer, the process that it tells of is older.
+def test_a_delayed_heartbeat_of_the_previous_process_is_ignored(registry, restarted_entries):
+    """Guards against draining a restarted engine because of its previous process's delayed write.
+
+    The delayed write has a newer revision but an older start time.
     """
     registry.observe(make_entry("e1", revision=5, started_ms=2000))
     registry.observe(make_entry("e1", revision=6, state=DRAINING, started_ms=1000))
     assert ready_ids(registry) == ["e1", "e2"]
-    assert restarted == []
+    assert restarted_entries == []
 
 
-def test_a_removal_older_than_what_a_peer_told_is_passed_over(registry):
-    """
-    Symptom: an engine that is back gets no work until its next change.
-    Sequence: a gateway that hears late is told by a peer that the engine is back; then its own
-    watch brings the removal from before.
-    Cause: the removal has an older revision than the entry.
-    """
+def test_a_removal_older_than_a_peers_change_is_ignored(registry):
+    """Guards against dropping an engine that registered again, as its removal arrives late."""
     registry.observe_peer_change(
         EndpointChange("e1", 9, make_entry("e1", revision=9, started_ms=2000))
     )
@@ -181,13 +161,10 @@
     assert ready_ids(registry) == ["e1", "e2"]
 
 
-def test_an_unreadable_entry_names_no_endpoint_to_use(registry, left, monkeypatch):
-    """
-    Symptom: requests go to an endpoint by an entry that another writer spoilt, or all its streams
-    are moved off.
-    Sequence: an entry is overwritten with something else, with every heartbeat; later the
-    endpoint writes its own again.
-    Cause: what cannot be read says neither that the endpoint takes work nor that it leaves.
+def test_an_unreadable_entry_makes_its_endpoint_unusable(registry, leaving, monkeypatch):
+    """Guards against new requests to, or evacuation of, an endpoint with an overwritten entry.
+
+    It is logged once, and the endpoint is used again after it has written a readable entry.
     """
     lines = []
     monkeypatch.setattr(
@@ -196,27 +173,30 @@
     for revision in (5, 6, 7):
         registry.observe_unreadable("e1", revision, "KeyError('service')")
     assert ready_ids(registry) == ["e2"]
-    assert left == []
+    assert leaving == []
     unreadable = [line for line in lines if line["message_type"] == "endpoint:unreadable"]
     assert len(unreadable) == 1
-    told = {change.id: change.entry.state for change in registry.recent_changes()}
-    assert told == {"e1": EndpointState.UNUSABLE, "e2": EndpointState.READY}, "also to peers"
+    reported = {change.id: change.entry.state for change in registry.recent_changes()}
+    assert reported == {
+        "e1": EndpointState.UNUSABLE,
+        "e2": EndpointState.READY,
+    }, "gossiped to peers"
     registry.observe(make_entry("e1", revision=8))
     assert ready_ids(registry) == ["e1", "e2"]
 
 
-def test_an_unreadable_entry_does_not_make_a_leaving_endpoint_stay(registry, left):
+def test_an_unreadable_entry_does_not_cancel_a_drain(registry, leaving):
     registry.observe(make_entry("e1", revision=5, state=DRAINING))
     registry.observe_unreadable("e1", 6, "KeyError('service')")
     registry.observe_unreadable("nobody", 7, "KeyError('service')")
     assert registry.entries_by_id["e1"].state is DRAINING
-    assert [found.id for found in left] == ["e1"]
+    assert [found.id for found in leaving] == ["e1"]
 
 
 class RestartMachine(RuleBasedStateMachine):
-    """Endpoints start again under their ids; beats come late; entries lapse, go and are spoilt.
+    """Endpoints restart with the same ids; heartbeats are delayed; entries lapse and are corrupted.
 
-    What the store holds last decides, except that an earlier start never replaces a later one.
+    The latest write wins, except that an earlier process never replaces a later one.
     """
 
     ids = st.sampled_from(["a", "b"])
@@ -236,12 +216,12 @@
         return written
 
     @rule(id=ids, state=st.sampled_from([EndpointState.READY, DRAINING]))
-    def beat(self, id, state):
+    def heartbeat(self, id, state):
         self._write(id, state, self.started[id])
         assert self.registry.entries_by_id[id].state is state
 
     @rule(id=ids)
-    def start_again(self, id):
+    def restart(self, id):
         known = self.registry.entries_by_id.get(id)
         before = len(self.restarts)
         self.started[id] += 1
@@ -250,14 +230,14 @@
         assert id in ready_ids(self.registry)
 
     @rule(id=ids, state=st.sampled_from([EndpointState.READY, DRAINING]))
-    def late_beat(self, id, state):
+    def delayed_heartbeat(self, id, state):
         known = self.registry.entries_by_id.get(id)
         if known is not None and known.started_ms > 1:
             self._write(id, state, known.started_ms - 1)
             assert self.registry.entries_by_id[id] is known
 
     @rule(id=ids)
-    def spoil(self, id):
+    def corrupt(self, id):
         self.revision += 1
         self.registry.observe_unreadable(id, self.revision, "unreadable")
         assert id not in ready_ids(self.registry)
@@ -276,9 +256,9 @@
         self.clock.advance(seconds)
 
     @invariant()
-    def restarts_go_forward(self):
+    def start_times_increase(self):
         for id in ("a", "b"):
-            starts = [former.started_ms for former in self.restarts if former.id == id]
+            starts = [previous.started_ms for previous in self.restarts if previous.id == id]
             assert starts == sorted(set(starts))
 
 
@@ -287,15 +267,15 @@
 
 
 class RegistryMachine(RuleBasedStateMachine):
-    """Whatever is observed, removed, listed or lost: draining is final for an incarnation."""
+    """Draining is final for an incarnation, in any order of changes, listings and outages."""
 
     ids = st.sampled_from(["a", "b", "c"])
 
     def __init__(self):
         super().__init__()
         self.clock = Clock()
-        self.left = []
-        self.registry = EndpointRegistry(self.clock, self.left.append)
+        self.leaving = []
+        self.registry = EndpointRegistry(self.clock, self.leaving.append)
         self.draining = set()
 
     @rule(id=ids)
@@ -325,7 +305,7 @@
         self.clock.advance(seconds)
 
     @invariant()
-    def draining_endpoints_take_no_work(self):
+    def draining_endpoints_take_no_requests(self):
         assert not self.draining & set(ready_ids(self.registry))
 
     @invariant()
@@ -337,12 +317,10 @@
 TestRegistryMachine.settings = settings(max_examples=examples(60), stateful_step_count=30)
 
 
-def test_an_endpoint_that_registered_again_is_not_dropped_by_late_word_of_its_end(clock):
-    """
-    Symptom: an endpoint that the store lists as ready gets no work from some gateways.
-    Sequence: its entry is removed and written again; one gateway sees only the new one, then hears
-    from a peer of the removal before it.
-    Cause: the removal was compared with what had been told, not with the entry itself.
+def test_a_peers_delayed_removal_does_not_drop_a_later_registration(clock):
+    """Guards against dropping a ready endpoint because a peer reports its earlier removal.
+
+    The removal must be compared with the entry's revision, not with that of the last change.
     """
     registry = EndpointRegistry(clock)
     registry.observe(make_entry("e1", revision=10))
@@ -351,18 +329,13 @@
     assert ready_ids(registry) == ["e1"]
 
 
-def test_an_endpoint_that_was_gone_before_the_listing_does_not_come_back(clock):
-    """
-    Symptom: a gateway that has just started sends to an endpoint that is gone.
-    Sequence: an endpoint goes while no gateway reaches the store; one starts again, lists what is
-    left, and hears of the endpoint from peers that do not know.
-    Cause: an unknown endpoint was taken for a new one, although the listing is newer.
-    """
+def test_an_endpoint_removed_before_the_listing_is_not_added_by_a_peer(clock):
+    """Guards against a restarted gateway that adds a removed endpoint from a peer's old report."""
     registry = EndpointRegistry(clock)
     registry.observe_peer_change(
-        EndpointChange("e1", 10, make_entry("e1", revision=10)), known_to=18
+        EndpointChange("e1", 10, make_entry("e1", revision=10)), complete_to_revision=18
     )
     registry.observe_peer_change(
-        EndpointChange("e2", 19, make_entry("e2", revision=19)), known_to=18
+        EndpointChange("e2", 19, make_entry("e2", revision=19)), complete_to_revision=18
     )
     assert ready_ids(registry) == ["e2"]
--- a/tests/membership/test_status_poll.py
+++ b/tests/membership/test_status_poll.py
@@ -1,7 +1,7 @@
-"""The outage pattern: engines are taken away while no gateway hears the store.
+"""Polling of endpoints' status while the store is unreachable and engines leave.
 
-Grounds for the figures: engines go 1.5 s after their notice, one every 3.3 s; outages of the store
-last 4 to 9 s; a store that takes calls and says nothing shows to a watch after 2.8 s.
+Engines leave 1.5 s after their notice; a watch detects a store that accepts calls without
+answering after 2.8 s.
 """
 
 import gc
@@ -13,7 +13,7 @@
 from guavacleat.http1.calls import CallBrokenError
 from guavacleat.membership.registry import EndpointRegistry, EndpointState
 from guavacleat.membership.status_poll import (
-    ASK_SECONDS,
+    POLL_INTERVAL_SECONDS,
     STORE_SILENCE_ALONE_SECONDS,
     STORE_SILENCE_SECONDS,
     EndpointStatusPoller,
@@ -24,12 +24,12 @@
 from tests.forwarding.harness import make_entry
 
 NOTICE_SECONDS = 1.5
-# So many that two gateways surely share them.
+# Enough that rendezvous hashing assigns some to each of two gateways.
 ENGINES = tuple(f"e{number}" for number in range(1, 7))
 
 
 class Status:
-    """Stands in for the wire: an answer's body says whether the endpoint leaves."""
+    """Fake codec: the body of an answer states whether the endpoint is leaving."""
 
     def encode_status_request(self):
         return b"GET", b"/status"
@@ -46,11 +46,14 @@
 
 
 class Fleet:
-    """One gateway ``g1``, with ``ENGINES`` that run generations; ``leaving`` is what they say."""
+    """A gateway ``g1`` and ``ENGINES`` that run generations.
+
+    ``leaving`` and ``silent`` hold the engines that report that they leave, or do not answer.
+    """
 
     def __init__(self, clock, monkeypatch):
         self.clock = clock
-        self.asked = []
+        self.polled = []
         self.leaving = set()
         self.silent = set()
         self.left = []
@@ -64,18 +67,18 @@
             self.load.begin(id, Run("r" + id, 3000))
         self.registry.observe(make_entry("idle", revision=3))
         self.registry.record_store_health(True)
-        self.inquiry = EndpointStatusPoller(
+        self.poller = EndpointStatusPoller(
             clock, None, Status(), self.registry, self.load, self.peers, "g1"
         )
-        self.inquiry.start()
+        self.poller.start()
 
     async def _call(self, clock, pool, address, method, target, headers, body, timeout):
-        self.asked.append(address[0])
+        self.polled.append(address[0])
         if address[0] in self.silent:
             raise CallBrokenError("silent")
         return Answer(b"leaving" if address[0] in self.leaving else b"staying")
 
-    def hear_peer(self, sequence, store_away, silence=0.0, loads=()):
+    def receive_report(self, sequence, store_away, silence=0.0, loads=()):
         self.peers.observe(
             GatewayReport(
                 "g2",
@@ -92,7 +95,7 @@
 def fleet(clock, monkeypatch):
     fleet = Fleet(clock, monkeypatch)
     yield fleet
-    fleet.inquiry.stop()
+    fleet.poller.stop()
 
 
 def pass_time(fleet, seconds, step=0.1):
@@ -100,19 +103,15 @@
         fleet.clock.advance(step)
 
 
-def test_nobody_is_asked_while_the_store_answers(fleet):
+def test_no_engine_is_polled_while_the_store_answers(fleet):
     for _ in range(30):
         fleet.registry.record_store_health(True)
         fleet.clock.advance(0.2)
-    assert fleet.asked == []
+    assert fleet.polled == []
 
 
-def test_an_engine_that_leaves_in_an_outage_is_heard_of_well_before_it_goes(fleet):
-    """
-    Symptom: all streams on an engine are cut, and none was tried to be copied.
-    Sequence: the store refuses every call; an engine that runs streams is taken away.
-    Cause: its notice is in the store, which nobody reaches.
-    """
+def test_an_engine_that_leaves_in_an_outage_is_detected_within_its_notice(fleet):
+    """Guards against streams that break without a migration attempt during a store outage."""
     fleet.registry.record_store_health(False)
     pass_time(fleet, 1)
     fleet.leaving.add("e1")
@@ -121,116 +120,100 @@
     assert [found.id for found in fleet.registry.ready("svc")] == [*ENGINES[1:], "idle"]
 
 
-def test_only_engines_that_run_generations_are_asked(fleet):
-    """Each question is paid for, and an idle engine has nothing to lose."""
+def test_only_engines_that_run_generations_are_polled(fleet):
+    """Guards against billed polls of idle engines."""
     fleet.registry.record_store_health(False)
-    pass_time(fleet, 3 * ASK_SECONDS)
-    assert set(fleet.asked) == set(ENGINES)
+    pass_time(fleet, 3 * POLL_INTERVAL_SECONDS)
+    assert set(fleet.polled) == set(ENGINES)
 
 
-def test_a_store_that_only_falls_silent_is_noticed_by_all_gateways_together(fleet):
-    """
-    Symptom: streams are cut in the first seconds of an outage.
-    Sequence: the store takes calls and answers none; an engine leaves in the same second.
-    Cause: each gateway waits for its own watch to run out, longer than a notice.
-    """
-    fleet.hear_peer(1, store_away=False, silence=0.5)
+def test_a_store_without_answers_is_detected_by_the_gateways_combined_silence(fleet):
+    """Guards against waiting for the watch's timeout, which is longer than an engine's notice."""
+    fleet.receive_report(1, store_away=False, silence=0.5)
     pass_time(fleet, STORE_SILENCE_SECONDS - 0.2)
-    assert fleet.asked == []
-    fleet.hear_peer(2, store_away=False, silence=1.3)
-    pass_time(fleet, 0.2 + ASK_SECONDS)
-    assert fleet.asked
+    assert fleet.polled == []
+    fleet.receive_report(2, store_away=False, silence=1.3)
+    pass_time(fleet, 0.2 + POLL_INTERVAL_SECONDS)
+    assert fleet.polled
 
 
-def test_any_answer_of_the_store_counts(fleet):
-    """
-    Symptom: engines are asked, at a price, while the store is well.
-    Sequence: an endpoint changes, which wakes the endpoint watches of all gateways in step; they
-    are silent for over a second. The watches of the configuration come back meanwhile.
-    Cause: only the watch of endpoints counted as hearing the store.
-    """
-    fleet.hear_peer(1, store_away=False, silence=5.0)
+def test_an_answer_to_any_store_call_counts(fleet):
+    """Guards against polls while only the endpoint watches wait and other calls are answered."""
+    fleet.receive_report(1, store_away=False, silence=5.0)
     for _ in range(30):
         fleet.registry.record_store_call(True)
         fleet.clock.advance(0.2)
-    assert fleet.asked == []
+    assert fleet.polled == []
 
 
-def test_a_gateway_without_a_store_asks_nobody(fleet):
-    """
-    Symptom: a gateway that serves a routes file logs an error every 0.4 s while a stream runs.
-    Sequence: it has no store, so it never hears one; after some seconds it asks its endpoints in a
-    form that they do not speak.
-    Cause: a store that was never heard was taken for one that fell silent.
+def test_a_gateway_without_a_store_polls_no_engine(fleet):
+    """Guards against polls, with logged errors, by a gateway that serves a routes file.
+
+    A store that never answered must not count as an outage.
     """
-    fleet.registry.store_heard_at = EndpointRegistry(fleet.clock).store_heard_at
+    fleet.registry.store_answered_at = EndpointRegistry(fleet.clock).store_answered_at
     pass_time(fleet, 2 * STORE_SILENCE_ALONE_SECONDS)
-    assert fleet.asked == []
+    assert fleet.polled == []
 
 
-def test_a_gateway_alone_waits_for_its_own_watches(fleet):
+def test_a_gateway_without_peers_waits_for_its_own_watches(fleet):
     pass_time(fleet, STORE_SILENCE_ALONE_SECONDS - 0.3)
-    assert fleet.asked == []
-    pass_time(fleet, 0.3 + ASK_SECONDS)
-    assert fleet.asked
+    assert fleet.polled == []
+    pass_time(fleet, 0.3 + POLL_INTERVAL_SECONDS)
+    assert fleet.polled
 
 
-def test_a_peer_that_hears_the_store_is_left_to_tell(fleet):
+def test_no_engine_is_polled_while_a_peer_reaches_the_store(fleet):
     fleet.registry.record_store_health(False)
     for sequence in range(1, 20):
-        fleet.hear_peer(sequence, store_away=False)
+        fleet.receive_report(sequence, store_away=False)
         pass_time(fleet, 0.2)
-    assert fleet.asked == []
+    assert fleet.polled == []
 
 
-def test_each_engine_is_asked_by_one_gateway(fleet):
+def test_each_engine_is_polled_by_one_gateway(fleet):
     fleet.registry.record_store_health(False)
-    fleet.hear_peer(1, store_away=True, loads=ENGINES)
-    pass_time(fleet, 2 * ASK_SECONDS)
-    mine = set(fleet.asked)
-    fleet.inquiry.instance = "g2"
-    fleet.hear_peer(2, store_away=True)
+    fleet.receive_report(1, store_away=True, loads=ENGINES)
+    pass_time(fleet, 2 * POLL_INTERVAL_SECONDS)
+    mine = set(fleet.polled)
+    fleet.poller.instance = "g2"
+    fleet.receive_report(2, store_away=True)
     fleet.peers.peers_by_instance["g1"] = fleet.peers.peers_by_instance.pop("g2")
     fleet.peers.peers_by_instance["g1"].report.instance = "g1"
-    fleet.asked.clear()
-    pass_time(fleet, 2 * ASK_SECONDS)
-    assert mine.isdisjoint(fleet.asked)
-    assert mine | set(fleet.asked) == set(ENGINES)
+    fleet.polled.clear()
+    pass_time(fleet, 2 * POLL_INTERVAL_SECONDS)
+    assert mine.isdisjoint(fleet.polled)
+    assert mine | set(fleet.polled) == set(ENGINES)
 
 
-def test_an_engine_that_does_not_answer_is_not_taken_for_leaving(fleet):
+def test_an_engine_that_does_not_answer_is_not_marked_as_leaving(fleet):
     fleet.silent = set(ENGINES)
     fleet.registry.record_store_health(False)
     pass_time(fleet, 3)
     assert fleet.left == []
 
 
-def test_what_an_endpoint_said_goes_to_peers_and_yields_to_the_stores_next_word(fleet):
-    """
-    Symptom: an engine gets no work after an outage although the store holds it as ready.
-    Sequence: it said that it leaves; it started again; the store, back, tells of the new process.
-    Cause: what it said must not count for more than any later change in the store.
-    """
+def test_a_polled_status_is_gossiped_and_superseded_by_the_next_store_change(fleet):
+    """Guards against an engine without requests after an outage although the store has it ready."""
     fleet.registry.observe_leaving(fleet.registry.entries_by_id["e1"])
-    told = {change.id: change for change in fleet.registry.recent_changes()}
-    assert told["e1"].entry.state is EndpointState.DRAINING
+    reported = {change.id: change for change in fleet.registry.recent_changes()}
+    assert reported["e1"].entry.state is EndpointState.DRAINING
     fleet.registry.observe(make_entry("e1", revision=4))
     assert "e1" in [found.id for found in fleet.registry.ready("svc")]
 
 
-def test_the_question_under_way_is_not_asked_twice(fleet, monkeypatch):
-    waiting, held = [], []
+def test_an_engine_with_a_poll_in_progress_is_not_polled_again(fleet, monkeypatch):
+    calls, pending_answers = [], []
 
-    async def never(clock, pool, address, *args):
-        waiting.append(address[0])
-        # Held, as a real call is by its connection: left to the garbage collector, the question
-        # would end by itself.
-        held.append(defer.Deferred())
-        await held[-1]
+    async def call_without_answer(clock, pool, address, *args):
+        calls.append(address[0])
+        # Referenced, as by a real call's connection: garbage collection would end the poll.
+        pending_answers.append(defer.Deferred())
+        await pending_answers[-1]
 
-    monkeypatch.setattr("guavacleat.membership.status_poll.call", never)
+    monkeypatch.setattr("guavacleat.membership.status_poll.call", call_without_answer)
     fleet.registry.record_store_health(False)
-    pass_time(fleet, 2 * ASK_SECONDS)
+    pass_time(fleet, 2 * POLL_INTERVAL_SECONDS)
     gc.collect()
-    pass_time(fleet, 2 * ASK_SECONDS)
-    assert sorted(waiting) == list(ENGINES)
+    pass_time(fleet, 2 * POLL_INTERVAL_SECONDS)
+    assert sorted(calls) == list(ENGINES)
--- a/tests/membership/test_view.py
+++ b/tests/membership/test_view.py
@@ -1,4 +1,4 @@
-"""Membership as a gateway sees it: leases judged by its own clock, draining endpoints left out."""
+"""The gateway's membership view: lease expiry by its own clock, drains, subsets."""
 
 from collections import Counter
 
@@ -20,12 +20,8 @@
     }
 
 
-def test_unrenewed_endpoint_drops_out_after_one_lease(clock):
-    """
-    Symptom: a dead or paused sidecar keeps receiving new work.
-    Sequence: the sidecar renews once, then stops renewing.
-    Cause: liveness must lapse by the reader's clock one lease after the last renewal seen.
-    """
+def test_endpoint_without_renewal_expires_after_one_lease(clock):
+    """Guards against new requests to a crashed or paused sidecar."""
     view = MembershipView(clock)
     view.observe(record("keur-llm-1"))
     clock.advance(LEASE_SECONDS)
@@ -34,7 +30,7 @@
     assert view.live("keur-llm") == []
 
 
-def test_draining_endpoint_gets_no_new_work(clock):
+def test_draining_endpoint_gets_no_new_requests(clock):
     view = MembershipView(clock)
     view.observe(record("keur-llm-1"))
     view.observe(record("keur-llm-2"))
@@ -43,12 +39,7 @@
 
 
 def test_store_outage_keeps_last_known_endpoints(clock, store, store_app, stub_http):
-    """
-    Symptom: during a long store outage every request is refused as not run.
-    Sequence: an endpoint renews; the store goes down for 60 s; no renewal can be seen.
-    Cause: the view lapsed leases by silence, but the silence came from the store, not from the
-    endpoint; liveness must stand still while the watch cannot reach the store.
-    """
+    """Guards against expiry of all leases in a store outage, when no renewal can be received."""
     from guavacleat.store.watch import WatchLoop
 
     result_of(store.put("endpoints", "keur-llm-1", record("keur-llm-1"), 0), stub_http.flush)
@@ -73,18 +64,15 @@
     for _ in range(int(LEASE_SECONDS) + 6):
         clock.advance(1)
         stub_http.flush()
-    assert view.live("keur-llm") == [], "a lease never renewed after the outage must lapse"
+    assert view.live("keur-llm") == [], "a lease not renewed after the outage must expire"
 
 
-def test_instance_listed_as_leaving_gets_no_new_work_but_its_replacement_does(
+def test_instance_listed_as_leaving_gets_no_new_requests_but_its_replacement_does(
     clock, store, store_app, stub_http
 ):
-    """
-    Symptom: an endpoint on a reclaimed instance keeps getting new work until it dies; or its
-    replacement gets none while the list lags.
-    Sequence: the platform lists instance i-1 as leaving; then i-2 takes the endpoint over while
-    the list still shows i-1.
-    Cause: the list was not read; and it names instances, not endpoints.
+    """Guards against new requests to a reclaimed instance, and none to its replacement.
+
+    The list lags: it still names instance i-1 after i-2 has taken the endpoint over.
     """
     view = MembershipView(clock)
     poll = InstancePoller(clock, store, view.instances_leaving)
@@ -100,12 +88,8 @@
     assert [r.instance for r in view.live("keur-llm")] == ["i-2"]
 
 
-def test_large_service_is_split_evenly_and_a_dead_endpoint_is_replaced(clock):
-    """
-    Symptom: routing takes a third of a core, or a few engines get all gateways' requests.
-    Sequence: 40 gateways see a service of 400 endpoints; one endpoint of a subset dies.
-    Cause: each gateway looked at every endpoint, or all at the same few.
-    """
+def test_large_service_is_split_evenly_and_a_lost_endpoint_is_replaced(clock):
+    """Guards against routing over all endpoints, and against equal subsets in all gateways."""
     names = [f"e{number}" for number in range(400)]
     uses = Counter()
     for gateway in range(40):
