--- a/src/guavacleat/peers/__init__.py
+++ b/src/guavacleat/peers/__init__.py
@@ -1,4 +1,4 @@
-"""What the gateways of a deployment tell each other: their generations on each endpoint."""
+"""Gossip between the gateways: their load per endpoint and their knowledge of the store."""
 
 from guavacleat.peers.exchange import PeerExchange
 from guavacleat.peers.table import PeerTable
--- a/src/guavacleat/peers/crashes.py
+++ b/src/guavacleat/peers/crashes.py
@@ -1,8 +1,8 @@
-"""What gateways tell each other of requests that crash endpoints.
+"""Gossip about requests that crash endpoints.
 
-Each gateway tells its neighbours what it saw itself. Those that forward between data centres pass
-on what they hear, and tell from time to time all that convicts a request, for gateways that start
-or were cut off.
+Each gateway reports its own observations to the gateways of its data centre. Forwarders also relay
+those of others, and periodically all crashes for which requests are quarantined, for gateways that
+start or were partitioned.
 """
 
 from guavacleat.protocol.gen.peers import ttypes
@@ -10,36 +10,37 @@
 
 __all__ = ["CrashGossip"]
 
-# Fingerprints in one report at most, some ten bytes each.
+# A fingerprint takes about ten bytes.
 MAX_FINGERPRINTS_PER_REPORT = 128
-CLEARANCES_TOLD = 64
+MAX_CLEARANCES_PER_REPORT = 64
 
 
 class CrashGossip:
-    """Turns a gateway's :class:`~guavacleat.quarantine.CrashTracker` into reports and back."""
+    """Encodes a gateway's :class:`~guavacleat.quarantine.CrashTracker` for reports, and decodes."""
 
-    def __init__(self, clock, book: CrashTracker):
+    def __init__(self, clock, tracker: CrashTracker):
         self.clock = clock
-        self.book = book
+        self.tracker = tracker
 
     def build_message(
         self, seconds: float, forwards: bool, everything: bool
     ) -> ttypes.Crashes | None:
-        """What to tell; None if there is nothing.
+        """Encode the recent observations; None if there are none.
 
-        :param seconds: how far back what was learnt is news.
-        :param forwards: whether to pass on what others saw.
-        :param everything: whether to tell of each request that is refused, however long ago.
+        :param seconds: maximum age of the observations to include.
+        :param forwards: whether to include observations of other gateways.
+        :param everything: whether to include all crashes for which requests are quarantined,
+            regardless of their age.
         """
-        ends = self.book.recent_crashes(seconds, local_only=not forwards)
+        crashes = self.tracker.recent_crashes(seconds, local_only=not forwards)
         if everything and forwards:
-            ends = list(dict.fromkeys([*self.book.quarantining_crashes(), *ends]))
-        trials = [trial for trial in self.book.trials() if trial.own or forwards]
-        clearances = self.book.recent_clearances(seconds)[:CLEARANCES_TOLD]
-        if not (ends or trials or clearances):
+            crashes = list(dict.fromkeys([*self.tracker.quarantining_crashes(), *crashes]))
+        trials = [trial for trial in self.tracker.trials() if trial.own or forwards]
+        clearances = self.tracker.recent_clearances(seconds)[:MAX_CLEARANCES_PER_REPORT]
+        if not (crashes or trials or clearances):
             return None
         return ttypes.Crashes(
-            self._bounded(ends),
+            self._encode_crashes(crashes),
             [
                 ttypes.Trial(trial.fingerprint, trial.endpoint, self._age(trial.at))
                 for trial in trials
@@ -48,24 +49,28 @@
         )
 
     def learn(self, message: ttypes.Crashes) -> None:
-        """Take in what a peer told."""
-        # In this order: what was cleared must not be charged again.
+        """Merge a peer's observations."""
+        # Clearances first, so that a cleared request is not charged again.
         for clearance in message.clearances or ():
-            self.book.merge_completion(clearance.fingerprint, clearance.age)
-        for end in message.ends or ():
-            self.book.merge_crash(end.endpoint, end.age, end.fingerprints, bool(end.restored))
+            self.tracker.merge_completion(clearance.fingerprint, clearance.age)
+        for crash in message.ends or ():
+            self.tracker.merge_crash(
+                crash.endpoint, crash.age, crash.fingerprints, bool(crash.restored)
+            )
         for trial in message.trials or ():
-            self.book.merge_trial(trial.fingerprint, trial.endpoint, trial.age)
+            self.tracker.merge_trial(trial.fingerprint, trial.endpoint, trial.age)
 
-    def _bounded(self, ends) -> list[ttypes.EndpointEnd]:
-        told, left = [], MAX_FINGERPRINTS_PER_REPORT
-        for end in ends:
-            fingerprints = self.book.most_suspected(end)[:left]
-            left -= len(fingerprints)
+    def _encode_crashes(self, crashes) -> list[ttypes.EndpointEnd]:
+        encoded, remaining = [], MAX_FINGERPRINTS_PER_REPORT
+        for crash in crashes:
+            fingerprints = self.tracker.most_suspected(crash)[:remaining]
+            remaining -= len(fingerprints)
             if fingerprints:
-                age = self._age(end.at)
-                told.append(ttypes.EndpointEnd(end.endpoint, age, fingerprints, end.restored))
-        return told
+                age = self._age(crash.at)
+                encoded.append(
+                    ttypes.EndpointEnd(crash.endpoint, age, fingerprints, crash.restored)
+                )
+        return encoded
 
     def _age(self, at: float) -> float:
         return self.clock.seconds() - at
--- a/src/guavacleat/peers/directory.py
+++ b/src/guavacleat/peers/directory.py
@@ -1,4 +1,4 @@
-"""Where the other gateways are: registered in the store, and learnt from what they send."""
+"""Addresses of the other gateways, from the store and from received datagrams."""
 
 import random
 
@@ -12,18 +12,18 @@
 
 GATEWAY_KIND = "gateways"
 REGISTER_RETRY_SECONDS = 1.0
-# After the store came back from a copy; many gateways write at different times.
-REGISTER_AGAIN_SECONDS = (0.5, 3.0)
+# Random delay after a restore of the store from a backup, to spread the gateways' writes.
+REREGISTER_DELAY_SECONDS = (0.5, 3.0)
 
 
 class GatewayDirectory:
-    """Registers this gateway and knows the others' datagram addresses, ``(ip, port)``.
+    """Registers this gateway and holds the others' datagram addresses, ``(ip, port)``.
 
-    A gateway lists the others once, at its start; whoever starts later lists it and sends to it,
-    so that no watch is needed.
+    A gateway lists the others once, at its start. Gateways that start later list it and send to
+    it, so that no watch is needed.
 
-    :ivar near_by_instance: gateways of the own data centre, and those of which it is not known.
-    :ivar far_by_data_centre: addresses by instance of those in each other data centre.
+    :ivar local_addresses_by_instance: gateways in the same data centre, or in an unknown one.
+    :ivar remote_addresses_by_data_centre: addresses by instance, for each other data centre.
     """
 
     def __init__(
@@ -35,22 +35,22 @@
         self.address = address
         self.data_centre = data_centre
         self.stopped = False
-        self.near_by_instance: dict[str, tuple[str, int]] = {}
-        self.far_by_data_centre: dict[str, dict[str, tuple[str, int]]] = {}
+        self.local_addresses_by_instance: dict[str, tuple[str, int]] = {}
+        self.remote_addresses_by_data_centre: dict[str, dict[str, tuple[str, int]]] = {}
 
     def data_centre_count(self) -> int:
-        """Data centres that have gateways, the own one included."""
-        return 1 + len(self.far_by_data_centre)
+        """Number of data centres with gateways, including this one."""
+        return 1 + len(self.remote_addresses_by_data_centre)
 
-    def learn_near(self, instance: str, address: tuple[str, int]) -> None:
-        self.near_by_instance[instance] = address
+    def add_local(self, instance: str, address: tuple[str, int]) -> None:
+        self.local_addresses_by_instance[instance] = address
 
-    def learn_far(self, data_centre: str, instance: str, address: tuple[str, int]) -> None:
-        self.far_by_data_centre.setdefault(data_centre, {})[instance] = address
+    def add_remote(self, data_centre: str, instance: str, address: tuple[str, int]) -> None:
+        self.remote_addresses_by_data_centre.setdefault(data_centre, {})[instance] = address
 
     @defer.inlineCallbacks
     def register(self):
-        """Write this gateway's address to the store and read the others', until both worked."""
+        """Register this gateway and list the others, with retries until both succeed."""
         while not self.stopped:
             try:
                 listing = yield self._write_address()
@@ -60,13 +60,13 @@
                 continue
             for stored in listing.objects:
                 if stored.name != self.instance:
-                    self._take_in(stored)
+                    self._add_registered(stored)
             return
 
     @defer.inlineCallbacks
-    def register_again(self):
-        """Write this gateway's address where the store has lost it, until that worked."""
-        yield task.deferLater(self.clock, random.uniform(*REGISTER_AGAIN_SECONDS))
+    def reregister(self):
+        """Register this gateway again if the restored store lacks it, with retries."""
+        yield task.deferLater(self.clock, random.uniform(*REREGISTER_DELAY_SECONDS))
         while not self.stopped:
             try:
                 yield self.store.put(GATEWAY_KIND, self.instance, self._value(), MUST_NOT_EXIST)
@@ -84,23 +84,23 @@
             "data_centre": self.data_centre,
         }
 
-    def _take_in(self, stored) -> None:
-        """Learn a registered address, unless a newer one was heard from the gateway itself."""
+    def _add_registered(self, stored) -> None:
+        """Add a registered address unless the gateway's own datagrams gave a newer one."""
         address = (stored.value["ip"], stored.value["port"])
         data_centre = stored.value.get("data_centre", self.data_centre)
-        known = self.near_by_instance
+        known = self.local_addresses_by_instance
         if data_centre != self.data_centre:
-            known = self.far_by_data_centre.setdefault(data_centre, {})
+            known = self.remote_addresses_by_data_centre.setdefault(data_centre, {})
         known.setdefault(stored.name, address)
 
     @defer.inlineCallbacks
     def _write_address(self):
-        """Write this gateway's address; fire with a listing made after that."""
+        """Register this gateway's address; the result is a listing made after the write."""
         value = self._value()
         try:
             yield self.store.put(GATEWAY_KIND, self.instance, value, MUST_NOT_EXIST)
         except ConflictError as exc:
-            # Registered by an earlier start; its address may have been another.
+            # Registered by a previous process, possibly with another address.
             listing = yield self.store.list_objects(GATEWAY_KIND)
             known = {stored.name: stored.value for stored in listing.objects}
             if known.get(self.instance) == value:
--- a/src/guavacleat/peers/report.py
+++ b/src/guavacleat/peers/report.py
@@ -1,7 +1,6 @@
-"""One gateway's report, and its form on the wire (thrift, compact).
+"""A gateway's report and its encoding (Thrift compact protocol).
 
-The accelerated codec is the one in C: the one in Python takes some twenty times its CPU, which with
-tens of gateways is a tenth of a small machine's.
+The accelerated protocol is implemented in C and takes a small part of the CPU of the Python one.
 """
 
 from thrift.protocol.TCompactProtocol import TCompactProtocolAccelerated
@@ -20,24 +19,24 @@
 
 
 class GatewayReport:
-    """What ``instance`` runs, by endpoint id, and what it knows of the store.
+    """A gateway's load by endpoint id and its knowledge of the store, or a data centre's summary.
 
-    :param incarnation: drawn at each start of the sender.
-    :param sequence: grows with each report of an incarnation.
-    :param changes: what it learnt of endpoints lately: all that came after ``changes_since``.
-    :param stops_in: seconds until its process ends at the latest; None unless it is being stopped.
-    :param store_away: whether the store did not answer its calls lately.
+    :param incarnation: random number, drawn at each start of the sender.
+    :param sequence: increases with each report of an incarnation.
+    :param changes: recent endpoint changes: all those after revision ``changes_since``.
+    :param stops_in: maximum seconds until its process ends; None unless it is being stopped.
+    :param store_away: whether its store calls failed recently.
     :param store_silence: seconds since the store last answered it.
-    :param configuration: version in force there; None while it has none.
-    :param configuration_age: seconds ago at which that was the newest version.
-    :param data_centre: the sender's; None if it does not say.
-    :param gateways: None in a gateway's own report. In a summary of the sender's data centre, which
-        goes to other data centres, how many gateways it adds up.
-    :param endpoints_revision: the store's revision up to which it knows the endpoints; None while
-        it does not.
-    :param endpoints_age: seconds ago at which that was the newest revision.
+    :param configuration: version in force at the sender; None if there is none.
+    :param configuration_age: seconds since that was known to be the latest version.
+    :param data_centre: the sender's data centre; None if unknown.
+    :param gateways: None in a gateway's own report; in a data centre's summary, the number of
+        gateways that it covers.
+    :param endpoints_revision: the store's revision up to which the sender knows the endpoints;
+        None if it does not know them.
+    :param endpoints_age: seconds since that was known to be the latest revision.
     :param changes_since: see ``changes``.
-    :param crashes: what it knows of requests that crash endpoints, as ``peers.crashes`` reads it.
+    :param crashes: requests that crash endpoints, see ``peers.crashes``.
     """
 
     __slots__ = (
@@ -101,8 +100,8 @@
 
 
 def encode_report(report: GatewayReport) -> bytes:
-    # Revisions of a later era are large numbers: told from the era's first on, they are short.
-    first = Revision.of(Revision(report.endpoints_revision or 0).era, 0)
+    # Revisions contain the era in their high bits; offsets from the era's first revision are short.
+    base_revision = Revision.of(Revision(report.endpoints_revision or 0).era, 0)
     loads = [
         ttypes.EndpointLoad(id, load.runs, load.peak_tokens, load.unread_tokens)
         for id, load in report.loads_by_endpoint.items()
@@ -112,35 +111,35 @@
         report.incarnation,
         report.sequence,
         loads,
-        [_encode_change(change, first) for change in report.changes],
+        [_encode_change(change, base_revision) for change in report.changes],
         report.stops_in,
         report.store_away,
         report.store_silence,
-        _fitting(report.configuration),
+        _encodable_version(report.configuration),
         report.configuration_age,
         report.data_centre,
         report.gateways,
-        _from(first, report.endpoints_revision),
+        _to_offset(base_revision, report.endpoints_revision),
         report.endpoints_age,
-        _from(first, report.changes_since),
+        _to_offset(base_revision, report.changes_since),
         report.crashes,
-        int(first) or None,
+        int(base_revision) or None,
     )
     buffer = TMemoryBuffer()
     message.write(TCompactProtocolAccelerated(buffer))
     return buffer.getvalue()
 
 
-def _fitting(version: int | None) -> int | None:
-    """A version that the message's 64 bits hold; any other is not told.
+def _encodable_version(version: int | None) -> int | None:
+    """The version, or None if it does not fit the message's 64-bit field.
 
-    Versions have no bound. Failing to encode one would end all reports of this gateway.
+    Versions are unbounded, and an encoding error would stop all reports of this gateway.
     """
     return version if version is not None and abs(version) < 1 << 63 else None
 
 
 def decode_report(data: bytes) -> GatewayReport:
-    """Decode a datagram; raise BadReportError if it is no report."""
+    """Decode a datagram; raise BadReportError if it is not a report."""
     message = ttypes.PeerReport()
     try:
         message.read(TCompactProtocolAccelerated(TMemoryBuffer(data)))
@@ -149,8 +148,8 @@
             load.endpoint: EndpointLoad(load.runs, load.expected_tokens, load.unread_tokens)
             for load in message.loads
         }
-        first = message.revisions_from or 0
-        changes = [_decode_change(change, first) for change in message.changes or ()]
+        base_revision = message.revisions_from or 0
+        changes = [_decode_change(change, base_revision) for change in message.changes or ()]
     except Exception as exc:  # noqa: BLE001 - thrift raises many kinds on bytes it cannot read
         raise BadReportError(repr(exc)) from exc
     return GatewayReport(
@@ -166,23 +165,23 @@
         message.configuration_age,
         message.data_centre,
         message.gateways,
-        _to(first, message.endpoints_revision),
+        _from_offset(base_revision, message.endpoints_revision),
         message.endpoints_age,
-        _to(first, message.changes_since),
+        _from_offset(base_revision, message.changes_since),
         message.crashes,
     )
 
 
-def _from(first: int, revision: int | None) -> int | None:
-    return None if revision is None else int(revision) - int(first)
+def _to_offset(base_revision: int, revision: int | None) -> int | None:
+    return None if revision is None else int(revision) - int(base_revision)
 
 
-def _to(first: int, offset: int | None) -> Revision | None:
-    return None if offset is None else Revision(first + offset)
+def _from_offset(base_revision: int, offset: int | None) -> Revision | None:
+    return None if offset is None else Revision(base_revision + offset)
 
 
-def _encode_change(change: EndpointChange, first: int) -> ttypes.EndpointChange:
-    entry, offset = change.entry, _from(first, change.revision)
+def _encode_change(change: EndpointChange, base_revision: int) -> ttypes.EndpointChange:
+    entry, offset = change.entry, _to_offset(base_revision, change.revision)
     if entry is None:
         return ttypes.EndpointChange(change.id, offset)
     return ttypes.EndpointChange(
@@ -198,8 +197,8 @@
     )
 
 
-def _decode_change(change: ttypes.EndpointChange, first: int) -> EndpointChange:
-    revision = _to(first, change.revision)
+def _decode_change(change: ttypes.EndpointChange, base_revision: int) -> EndpointChange:
+    revision = _from_offset(base_revision, change.revision)
     if change.service_name is None:
         return EndpointChange(change.endpoint, revision, None)
     entry = EndpointEntry(
--- a/src/guavacleat/peers/summaries.py
+++ b/src/guavacleat/peers/summaries.py
@@ -1,11 +1,10 @@
-"""Sums of load between data centres, and passing on what comes from others.
-
-Sent to all gateways everywhere, reports would grow with the square of their number, and most of
-what crosses between data centres would be reports. So two gateways of each data centre, the
-forwarders, add up what its gateways have running and send the sums to two gateways of each other
-data centre, which pass them on to their neighbours unread. Who forwards is decided by each gateway
-alone, see ``rendezvous``: the first sends at each change, the second at intervals, so that nothing
-is missed for long if the first goes.
+"""Load summaries exchanged between data centres.
+
+If every gateway reported to all others, traffic between data centres would grow with the square of
+the number of gateways. Instead, two gateways of each data centre, the forwarders, sum up the loads
+of its gateways and send the summary to two gateways of each other data centre, which relay it to
+their neighbours unchanged. Forwarders are selected by rendezvous hashing. The first one sends at
+each change, the second at each heartbeat, so that a failure of the first is covered.
 """
 
 import random
@@ -15,104 +14,110 @@
 from guavacleat.placement import EndpointLoad, sum_loads
 from guavacleat.rendezvous import select_members
 
-__all__ = ["FORWARDERS", "GATHER_SECONDS", "SummaryExchange", "add_up"]
+__all__ = ["FORWARDERS", "BATCH_SECONDS", "SummaryExchange", "sum_loads_by_endpoint"]
 
-# Changes closer together than this go into one report or summary. A choice of engine is made by
-# what is known of its load: what comes later than others' choices lets them fill the same engine.
-GATHER_SECONDS = 0.01
-# Gateways of a data centre that send summaries, and to how many of each other data centre.
+# Changes within this time are batched into one report or summary. Longer batching would let
+# several gateways choose the same engine by outdated loads.
+BATCH_SECONDS = 0.01
+# Senders of summaries per data centre, and their recipients in each other data centre.
 FORWARDERS = 2
-CONTACTS = 2
+RECIPIENTS = 2
 
 
 class SummaryExchange:
-    """Sends this data centre's summary where that is this gateway's task, and passes others' on.
+    """Sends this data centre's summary if this gateway is a forwarder, and relays received ones.
 
-    :param encode: returns the summary as it is to be sent.
-    :param send_near: sends a datagram to every known gateway of the own data centre.
-    :param send_far: sends a datagram to one address in another data centre.
+    :param encode: returns the encoded summary.
+    :param send_local: sends a datagram to every known gateway in the same data centre.
+    :param send_remote: sends a datagram to an address in another data centre.
     """
 
     def __init__(
-        self, clock, book: PeerTable, directory: GatewayDirectory, encode, send_near, send_far
+        self,
+        clock,
+        peer_table: PeerTable,
+        directory: GatewayDirectory,
+        encode,
+        send_local,
+        send_remote,
     ):
         self.clock = clock
-        self.book = book
+        self.peer_table = peer_table
         self.directory = directory
         self.encode = encode
-        self.send_near = send_near
-        self.send_far = send_far
-        # The newest summary that came from each other data centre, as it was received.
+        self.send_local = send_local
+        self.send_remote = send_remote
+        # The latest encoded summary of each other data centre that has not been relayed yet.
         self.datagrams_by_data_centre: dict[str, bytes] = {}
         self.stopped = False
-        self._gathering = None
+        self._pending_send = None
 
-    def beat(self) -> None:
-        """Do at intervals what no change has caused."""
-        self._pass_on()
+    def on_heartbeat(self) -> None:
+        """Relay received summaries and send this data centre's one."""
+        self._relay()
         self._send()
 
     def load_changed(self) -> None:
-        """Something changed that only the first forwarder tells at once."""
-        self._send_soon(1)
+        """Send a summary soon if this gateway is the first forwarder."""
+        self._schedule_send(1)
 
     def endpoint_changed(self) -> None:
-        """Something changed that must not be missed: each forwarder tells it at once."""
-        self._send_soon(FORWARDERS)
+        """Send a summary soon if this gateway is any of the forwarders."""
+        self._schedule_send(FORWARDERS)
 
-    def received(self, data_centre: str, data: bytes) -> None:
-        """Take in a summary that came from another data centre itself, not through a neighbour."""
+    def on_summary_received(self, data_centre: str, data: bytes) -> None:
+        """Queue a summary received directly from another data centre for relaying."""
         self.datagrams_by_data_centre[data_centre] = data
-        if self.forwards(1):
-            self._pass_on()
+        if self.is_forwarder(1):
+            self._relay()
 
-    def forwards(self, count: int) -> bool:
-        """Whether this gateway is among the first ``count`` forwarders of its data centre."""
+    def is_forwarder(self, count: int) -> bool:
+        """Whether this gateway is one of the first ``count`` forwarders of its data centre."""
         instance = self.directory.instance
-        near = [report.instance for report in self.book.alive()]
-        return instance in select_members([instance, *near], "forward", count)
+        neighbours = [report.instance for report in self.peer_table.alive()]
+        return instance in select_members([instance, *neighbours], "forward", count)
 
-    def _send_soon(self, forwarders: int) -> None:
-        if self._gathering is None and not self.stopped and self.forwards(forwarders):
-            self._gathering = self.clock.callLater(GATHER_SECONDS, self._send)
+    def _schedule_send(self, forwarders: int) -> None:
+        if self._pending_send is None and not self.stopped and self.is_forwarder(forwarders):
+            self._pending_send = self.clock.callLater(BATCH_SECONDS, self._send)
 
     def _send(self) -> None:
-        if self._gathering is not None and self._gathering.active():
-            self._gathering.cancel()
-        self._gathering = None
-        far = self.directory.far_by_data_centre
-        if self.stopped or not far or not self.forwards(FORWARDERS):
+        if self._pending_send is not None and self._pending_send.active():
+            self._pending_send.cancel()
+        self._pending_send = None
+        remote_addresses = self.directory.remote_addresses_by_data_centre
+        if self.stopped or not remote_addresses or not self.is_forwarder(FORWARDERS):
             return
         data = self.encode()
-        for data_centre in far:
-            for address in self._contacts(data_centre):
-                self.send_far(data, address)
+        for data_centre in remote_addresses:
+            for address in self._recipients(data_centre):
+                self.send_remote(data, address)
 
-    def _pass_on(self) -> None:
+    def _relay(self) -> None:
         for data in self.datagrams_by_data_centre.values():
-            self.send_near(data)
+            self.send_local(data)
         self.datagrams_by_data_centre.clear()
 
-    def _contacts(self, data_centre: str) -> list[tuple[str, int]]:
-        """Whom to send to: those that send summaries here, else any gateways that are known.
+    def _recipients(self, data_centre: str) -> list[tuple[str, int]]:
+        """Addresses of live forwarders in the data centre, else of random known gateways there.
 
-        A gateway that sends is alive. Without one, another draw each time finds one that is.
+        The random choice is repeated for each summary until a live gateway is reached.
         """
-        known = self.directory.far_by_data_centre[data_centre]
+        addresses = self.directory.remote_addresses_by_data_centre[data_centre]
         oldest = self.clock.seconds() - PEER_TIMEOUT_SECONDS
-        senders = self.book.summaries_by_data_centre.get(data_centre, {})
+        senders = self.peer_table.summaries_by_data_centre.get(data_centre, {})
         alive = [
             instance
             for instance, peer in senders.items()
-            if peer.heard_at >= oldest and instance in known
+            if peer.received_at >= oldest and instance in addresses
         ]
-        if len(alive) < CONTACTS:
-            others = sorted(known.keys() - set(alive))
-            alive += random.sample(others, min(len(others), CONTACTS - len(alive)))
-        return [known[instance] for instance in alive[:CONTACTS]]
+        if len(alive) < RECIPIENTS:
+            others = sorted(addresses.keys() - set(alive))
+            alive += random.sample(others, min(len(others), RECIPIENTS - len(alive)))
+        return [addresses[instance] for instance in alive[:RECIPIENTS]]
 
 
-def add_up(parts: list[dict[str, EndpointLoad]]) -> dict[str, EndpointLoad]:
-    """The sums of several gateways' loads, by endpoint id."""
+def sum_loads_by_endpoint(parts: list[dict[str, EndpointLoad]]) -> dict[str, EndpointLoad]:
+    """Sums of several gateways' loads, by endpoint id."""
     ids = set().union(*parts)
     return {id: sum_loads(loads[id] for loads in parts if id in loads) for id in ids}
--- a/src/guavacleat/peers/sync.py
+++ b/src/guavacleat/peers/sync.py
@@ -1,15 +1,17 @@
-"""Who listens to the store, and what the others know of it from their peers.
+"""Selection of the gateways that watch the store, and sync state of the others.
 
-Each call of the store is paid for, and a change wakes every watch. So a few gateways listen. Each
-gateway chooses them alone among those that it hears of (rendezvous hashing): nothing is agreed,
-and where views differ, one more or one less listens. The others take what they are told:
+Store calls are billed, and each change wakes every watch. Therefore only a few gateways, the
+watchers, watch the store. Each gateway selects them by rendezvous hashing among its live peers;
+where peers' views differ, there are temporarily more or fewer watchers. The other gateways rely on
+gossip:
 
-- of endpoints, the changes. A report says after which revision its changes are complete, so that a
-  lost one is noticed as a gap; a gap that reports don't fill is filled from the store;
-- of the configuration, the version in force. A newer one is read from the store at once.
+- For endpoints, reports contain changes and the revision after which these are complete. A lost
+  report is detected as a gap; a gap that other reports don't fill is filled from the store.
+- For the configuration, reports contain the version in force. A newer one is read from the store
+  at once.
 
-What is told ages. A listener that is frozen, cut off or deaf tells nothing newer, and whoever
-knows nothing recent enough from anybody listens itself, each after a time of its own.
+Gossiped state expires. When no peer confirms it as recent, for example because the watchers are
+frozen or partitioned, a gateway queries the store itself, after a randomised time.
 """
 
 import collections
@@ -26,62 +28,61 @@
 
 __all__ = ["ConfigurationSyncState", "EndpointSyncState", "WatcherSelection"]
 
-# Listeners of a deployment, spread evenly over its data centres, at least one in each: with one
-# alone, all would be deaf while it falls silent.
+# Watchers in all, spread evenly over the data centres, with at least one in each. More than one,
+# so that a failed watcher does not interrupt updates.
 WATCHERS = 6
-# So long after its start a gateway leaves listening to others: it has just read everything, and
-# does not know yet whom it has for peers.
-SETTLE_SECONDS = 0.6
-# Knowledge older than this is not relied on; each gateway draws its own limit. A listener whose
-# watch brings nothing knows more every two seconds, and half a second later it is told.
+# After its start a gateway is not a watcher for this time: it has just read all objects, and does
+# not know its peers yet.
+STARTUP_SECONDS = 0.6
+# Maximum age of gossiped state; each gateway draws its own limit from this range. It exceeds a
+# watch's wait plus a heartbeat.
 STALE_SECONDS = (2.6, 4.0)
-# Time in which a gap is usually filled by other reports.
+# Time to wait for other reports to fill a gap.
 GAP_SECONDS = 0.5
-# A gateway lists the endpoints itself after so long, whatever it was told: one that wrongly
-# believed itself complete would stay wrong.
+# Range of the time after which a gateway lists all endpoints again, which corrects missed changes.
 RELIST_SECONDS = (15.0, 30.0)
 
 
 class WatcherSelection:
-    """Whether this gateway is one of those that listen to the store.
+    """Whether this gateway is one of the watchers of the store.
 
-    :param data_centres: returns how many data centres have gateways.
+    :param data_centres: returns the number of data centres with gateways.
     """
 
     def __init__(
         self,
         clock: IReactorTime,
         instance: str,
-        book: PeerTable,
+        peer_table: PeerTable,
         registry: EndpointRegistry,
         data_centres,
     ):
         self.clock = clock
-        self.settled_at = clock.seconds() + SETTLE_SECONDS
+        self.startup_ends_at = clock.seconds() + STARTUP_SECONDS
         self.instance = instance
-        self.book = book
+        self.peer_table = peer_table
         self.registry = registry
         self.data_centres = data_centres
 
     def __call__(self) -> bool:
-        if self.clock.seconds() < self.settled_at:
+        if self.clock.seconds() < self.startup_ends_at:
             return False
-        alive = self.book.alive()
-        reaching = [report.instance for report in alive if not report.store_away]
+        alive = self.peer_table.alive()
+        with_store_access = [report.instance for report in alive if not report.store_away]
         if not self.registry.store_unreachable():
-            reaching.append(self.instance)
-        # While nobody reaches the store, some go on trying.
-        members = reaching or [self.instance, *(report.instance for report in alive)]
+            with_store_access.append(self.instance)
+        # While no gateway reaches the store, the watchers keep retrying.
+        members = with_store_access or [self.instance, *(report.instance for report in alive)]
         return self.instance in select_members(members, "store", self._count())
 
     def _count(self) -> int:
         return max(1, math.ceil(WATCHERS / max(1, self.data_centres())))
 
 
-class _Known:
-    """What is known of one kind of object, and when it was the newest.
+class _SyncState:
+    """Freshness of the local copy of one kind of object.
 
-    :ivar as_of: clock time at which nothing newer existed.
+    :ivar as_of: clock time at which the copy was last known to be current.
     """
 
     def __init__(self, clock: IReactorTime):
@@ -90,67 +91,67 @@
         self.stale_after = random.uniform(*STALE_SECONDS)
 
     def age(self) -> float | None:
-        """Seconds since it was the newest, None if it never was."""
+        """Seconds since the copy was last known to be current; None if it never was."""
         return None if math.isinf(self.as_of) else self.clock.seconds() - self.as_of
 
     def is_stale(self) -> bool:
         return self.clock.seconds() - self.as_of > self.stale_after
 
-    def _newest_at(self, age: float | None) -> None:
+    def _confirm_current(self, age: float | None) -> None:
         if age is not None:
             self.as_of = max(self.as_of, self.clock.seconds() - age)
 
 
-class EndpointSyncState(_Known):
-    """How far a gateway knows the endpoints' changes.
+class EndpointSyncState(_SyncState):
+    """How completely this gateway knows the endpoints' changes.
 
-    :ivar revision: the store's revision up to which it knows them all; None before a listing.
+    :ivar revision: the store's revision up to which all changes are known; None before a listing.
     """
 
     def __init__(self, clock: IReactorTime):
         super().__init__(clock)
         self.revision: int | None = None
-        self._told_revision = 0
+        self._reported_revision = 0
         self._gap_since: float | None = None
-        self._audit_at = float("-inf")
-        # (clock time, revision known from then on), oldest first.
+        self._relist_at = float("-inf")
+        # (clock time, revision known from that time), oldest first.
         self._history: collections.deque[tuple[float, int]] = collections.deque()
 
     def record_store_answer(self, revision: int) -> None:
-        """The store itself told everything up to ``revision``."""
-        self._audit_at = self.clock.seconds() + random.uniform(*RELIST_SECONDS)
-        self._newest_at(0.0)
+        """Record that the store returned all changes up to ``revision``."""
+        self._relist_at = self.clock.seconds() + random.uniform(*RELIST_SECONDS)
+        self._confirm_current(0.0)
         self._advance(revision)
 
     def observe_report(self, report: GatewayReport) -> None:
-        """Take in how far a peer knows, after the changes that it told."""
-        told = report.endpoints_revision
-        if told is None or self.revision is None:
+        """Apply a report's revision, after its changes have been applied."""
+        reported = report.endpoints_revision
+        if reported is None or self.revision is None:
             return
-        self._told_revision = max(self._told_revision, told)
+        self._reported_revision = max(self._reported_revision, reported)
         complete = report.changes_since is not None and report.changes_since <= self.revision
-        if told <= self.revision or complete:
-            self._newest_at(report.endpoints_age)
-            self._advance(told)
+        if reported <= self.revision or complete:
+            self._confirm_current(report.endpoints_age)
+            self._advance(reported)
         elif self._gap_since is None:
             self._gap_since = self.clock.seconds()
 
     def latest_reported_era(self) -> int:
-        """The latest era of the store that a peer told."""
-        return Revision(self._told_revision).era
+        """The latest era of the store that a peer has reported."""
+        return Revision(self._reported_revision).era
 
     def must_query_store(self) -> bool:
-        """Whether the store has to be asked, as peers don't tell enough."""
+        """Whether to query the store because of a gap or expired gossip."""
         since = self._gap_since
         gap = since is not None and self.clock.seconds() - since > GAP_SECONDS
         return gap or self.is_stale()
 
     def relist_is_due(self) -> bool:
-        """Whether the endpoints should be listed, as nothing was heard from the store for long."""
-        return self.clock.seconds() >= self._audit_at
+        """Whether to list the endpoints again, as the last answer of the store is too old."""
+        return self.clock.seconds() >= self._relist_at
 
     def complete_since(self, seconds: float) -> int | None:
-        """The revision that was known ``seconds`` ago, or as early as any was."""
+        """The revision known ``seconds`` ago, or else the earliest one remembered."""
         oldest = self.clock.seconds() - seconds
         known = [revision for at, revision in self._history if at < oldest]
         if known:
@@ -161,45 +162,47 @@
         if self.revision is None or revision > self.revision:
             self.revision = revision
             self._history.append((self.clock.seconds(), revision))
-            self._forget_old()
-        if self.revision >= self._told_revision:
+            self._prune_history()
+        if self.revision >= self._reported_revision:
             self._gap_since = None
 
-    def _forget_old(self) -> None:
+    def _prune_history(self) -> None:
         oldest = self.clock.seconds() - CHANGE_RETENTION_SECONDS
         while len(self._history) > 1 and self._history[1][0] < oldest:
             self._history.popleft()
 
 
-class ConfigurationSyncState(_Known):
-    """Whether the configuration in force is the newest.
+class ConfigurationSyncState(_SyncState):
+    """Whether the configuration in force is the latest.
 
-    :param version: returns the version in force, None while there is none.
-    :param on_newer: called when a peer has a newer one.
+    :param version: returns the version in force, or None if there is none.
+    :param on_newer: called when a peer reports a newer version.
     """
 
     def __init__(self, clock: IReactorTime, version, on_newer=lambda: None):
         super().__init__(clock)
         self.version = version
         self.on_newer = on_newer
-        self.told: int | None = None
+        self.reported_version: int | None = None
 
     def record_store_answer(self) -> None:
-        """The store told the newest."""
-        self._newest_at(0.0)
+        """Record that the store returned the latest configuration."""
+        self._confirm_current(0.0)
 
     def observe_report(self, report: GatewayReport) -> None:
-        """Take in which version a peer has in force."""
-        told, own = report.configuration, self.version()
-        if told is None or own is None:
+        """Apply the version that a peer has in force."""
+        reported, own = report.configuration, self.version()
+        if reported is None or own is None:
             return
-        self.told = told if self.told is None else max(self.told, told)
-        if told == own:
-            self._newest_at(report.configuration_age)
-        elif told > own:
+        self.reported_version = (
+            reported if self.reported_version is None else max(self.reported_version, reported)
+        )
+        if reported == own:
+            self._confirm_current(report.configuration_age)
+        elif reported > own:
             self.on_newer()
 
     def must_query_store(self) -> bool:
         own = self.version()
-        behind = own is None or (self.told is not None and self.told > own)
+        behind = own is None or (self.reported_version is not None and self.reported_version > own)
         return behind or self.is_stale()
--- a/src/guavacleat/peers/table.py
+++ b/src/guavacleat/peers/table.py
@@ -1,7 +1,6 @@
-"""The newest report of each peer, for as long as it counts.
+"""The latest report of each peer, until it expires.
 
-Gateways of the own data centre are known one by one, those of another by the summaries that some of
-them send.
+Gateways in the same data centre report individually; other data centres send summaries.
 """
 
 import itertools
@@ -14,36 +13,35 @@
 
 __all__ = ["PeerTable", "RESTART_SECONDS", "PEER_TIMEOUT_SECONDS"]
 
-# A peer not heard for so long counts as gone, and its runs with it: three reports in a row lost.
+# A peer without reports for this time is considered down: three lost heartbeats.
 PEER_TIMEOUT_SECONDS = 1.6
-# From the end of a gateway's process until its next start takes callers: the start, then its
-# configuration and the balancer's next question.
+# From the end of a gateway's process until the restarted one takes requests: process start,
+# loading the configuration, and the load balancer's next health check.
 RESTART_SECONDS = 1.0
 
 
 class _Peer:
-    __slots__ = ("report", "heard_at")
+    __slots__ = ("report", "received_at")
 
-    def __init__(self, report: GatewayReport, heard_at: float):
+    def __init__(self, report: GatewayReport, received_at: float):
         self.report = report
-        self.heard_at = heard_at
+        self.received_at = received_at
 
 
 class PeerTable:
-    """Reports by instance; those of silent peers are left out.
+    """Reports by instance; those of peers that timed out are ignored.
 
-    ``on_report()`` is called when a report was taken in.
+    ``on_report()`` is called after each accepted report.
     """
 
     def __init__(self, clock: IReactorTime):
         self.clock = clock
         self.on_report = lambda: None
         self.peers_by_instance: dict[str, _Peer] = {}
-        # Senders of summaries, by data centre.
         self.summaries_by_data_centre: dict[str, dict[str, _Peer]] = {}
 
     def observe(self, report: GatewayReport) -> bool:
-        """Take in a report unless a newer one of its incarnation is known; tell whether it was."""
+        """Store a report unless a newer one of its incarnation is known; return whether stored."""
         peers = self.peers_by_instance
         if report.is_summary:
             peers = self.summaries_by_data_centre.setdefault(report.data_centre, {})
@@ -63,62 +61,67 @@
         return True
 
     def alive(self) -> list[GatewayReport]:
-        """Reports of the peers in the own data centre that were heard of lately."""
-        return [peer.report for peer in self._lately(self.peers_by_instance)]
+        """Reports of the peers in the same data centre that have not timed out."""
+        return [peer.report for peer in self._recent(self.peers_by_instance)]
 
     def summaries(self) -> list[GatewayReport]:
-        """One summary of each other data centre that was heard of lately.
+        """One summary of each other data centre that has not timed out.
 
-        Two senders that hear different gateways add up different sums: the fuller one counts, then
-        the newer one.
+        Two forwarders may cover different gateways: the summary of more gateways is used, then the
+        newer one.
         """
-        lately = map(self._lately, self.summaries_by_data_centre.values())
+        recent = map(self._recent, self.summaries_by_data_centre.values())
         return [
-            max(peers, key=lambda peer: (peer.report.gateways, peer.heard_at)).report
-            for peers in lately
+            max(peers, key=lambda peer: (peer.report.gateways, peer.received_at)).report
+            for peers in recent
             if peers
         ]
 
-    def _lately(self, peers: dict[str, _Peer]) -> list[_Peer]:
+    def _recent(self, peers: dict[str, _Peer]) -> list[_Peer]:
         oldest = self.clock.seconds() - PEER_TIMEOUT_SECONDS
-        return [peer for peer in peers.values() if peer.heard_at >= oldest]
+        return [peer for peer in peers.values() if peer.received_at >= oldest]
 
-    def _all(self) -> itertools.chain:
-        """Every peer and every sender of summaries, silent ones too."""
+    def _all_peers(self) -> itertools.chain:
+        """All peers and forwarders, including those that timed out."""
         return itertools.chain(
             self.peers_by_instance.values(),
             *(peers.values() for peers in self.summaries_by_data_centre.values()),
         )
 
     def newest_configuration(self) -> int | None:
-        """The highest version in force at a peer that was heard of lately; None if none tells."""
+        """The highest configuration version in force at a live peer; None if none reports one."""
         versions = (report.configuration for report in [*self.alive(), *self.summaries()])
         return max((version for version in versions if version is not None), default=None)
 
     def store_silence(self) -> float:
-        """Seconds since a peer last heard from the store, as far as they told."""
+        """Seconds since the store last answered a peer, according to their reports."""
         now = self.clock.seconds()
-        silences = (peer.report.store_silence + now - peer.heard_at for peer in self._all())
+        silences = (
+            peer.report.store_silence + now - peer.received_at for peer in self._all_peers()
+        )
         return min(silences, default=float("inf"))
 
     def seconds_until_ready(self) -> float | None:
-        """Seconds until a peer takes callers: 0 if one does; None if none was heard of lately.
+        """Seconds until a peer takes requests: 0 if one does now, None if there is no live peer.
 
-        One that is being stopped is expected back after its end, as it told that.
+        A peer that is being stopped is expected to be ready again ``RESTART_SECONDS`` after the
+        announced end of its process.
         """
         now = self.clock.seconds()
-        waits = [self._ready_at(peer) - now for peer in self._all()]
-        lately = [max(0.0, wait) for wait in waits if wait >= -PEER_TIMEOUT_SECONDS]
-        return min(lately, default=None)
+        waits = [self._ready_at(peer) - now for peer in self._all_peers()]
+        recent = [max(0.0, wait) for wait in waits if wait >= -PEER_TIMEOUT_SECONDS]
+        return min(recent, default=None)
 
     @staticmethod
     def _ready_at(peer: _Peer) -> float:
-        """When the peer takes callers, or last said that it does."""
+        """Time at which the peer takes requests, or last reported that it does."""
         stops_in = peer.report.stops_in
-        return peer.heard_at if stops_in is None else peer.heard_at + stops_in + RESTART_SECONDS
+        return (
+            peer.received_at if stops_in is None else peer.received_at + stops_in + RESTART_SECONDS
+        )
 
     def total(self, endpoint_id: str) -> EndpointLoad:
-        """All peers' runs on the endpoint."""
+        """Sum of all peers' load on the endpoint."""
         reports = itertools.chain(self.alive(), self.summaries())
         loads = (report.loads_by_endpoint.get(endpoint_id) for report in reports)
         return sum_loads(load for load in loads if load is not None)
--- a/tests/peers/fleet.py
+++ b/tests/peers/fleet.py
@@ -1,7 +1,7 @@
-"""Gateways of several data centres on one paused clock: their store, their datagrams, their faults.
+"""Simulated gateways of several data centres, with faults of the store and the network.
 
-Each gateway follows the store by the real :class:`StoreSource`; only the store's answers and the
-network between the gateways are stood in for. No network is used.
+The gateways use the real :class:`StoreSource`; the store, the datagram network and the clock are
+simulated.
 """
 
 import random
@@ -28,20 +28,20 @@
 
 STEP_SECONDS = 0.05
 CONFIG, ENDPOINTS = PlatformAdapter.config_kind, PlatformAdapter.endpoint_kind
-# What a call to a store that swallows it takes, beyond a watch's wait.
+# Timeout of a call that the store does not answer, in addition to a watch's wait.
 CALL_SECONDS = 0.8
 
 
 class SharedStore:
-    """Objects with one revision counter, and watches that wait for a change."""
+    """A store with one revision counter, and watches that wait for a change."""
 
     def __init__(self, clock):
         self.clock = clock
         self.revision = 0
-        self.forgotten = 0
+        self.compacted_revision = 0
         self.objects: dict[tuple[str, str], StoredObject] = {}
         self.history: list[StoredObject] = []
-        # (kind, since, Deferred) of each watch that waits.
+        # (kind, since, Deferred) of each waiting watch.
         self.waiting: list[tuple[str, int, defer.Deferred]] = []
         self.calls = 0
 
@@ -59,8 +59,8 @@
         return stored
 
     def compact(self):
-        """Forget all history."""
-        self.forgotten = self.revision
+        """Discard the change history."""
+        self.compacted_revision = self.revision
 
     def changes(self, kind, since):
         after = [stored for stored in self.history if stored.revision > since]
@@ -73,7 +73,7 @@
 
 
 class StoreLink:
-    """One gateway's way to the store: ``state`` is ``"open"``, ``"refused"`` or ``"silent"``."""
+    """A gateway's connection to the store; ``state``: ``"open"``, ``"refused"`` or ``"silent"``."""
 
     def __init__(self, store: SharedStore):
         self.store = store
@@ -81,10 +81,10 @@
         self.era_listeners = []
 
     def observe_era(self, era):
-        """This store never comes back from a copy."""
+        """Ignored: this store is never restored from a backup."""
 
     def set_state(self, state):
-        """From now on calls fail; those under way stay unanswered until their time is over."""
+        """Set the state; if not open, calls fail, and those in progress time out."""
         self.state = state
 
     def _failure(self, wait=0.0):
@@ -116,7 +116,7 @@
         failure = self._failure(wait)
         if failure is not None:
             return failure
-        if since < self.store.forgotten:
+        if since < self.store.compacted_revision:
             return defer.fail(HistoryLostError(kind, since))
         batch = self.store.changes(kind, since)
         if batch.objects:
@@ -147,18 +147,18 @@
 
 
 class Gateway:
-    """One gateway's following of the store and its peers."""
+    """A gateway's store source and peer exchange."""
 
     def __init__(self, fleet, instance, data_centre, ip):
         self.fleet = fleet
         self.instance, self.data_centre, self.ip = instance, data_centre, ip
         self.frozen = False
-        self.left = []
+        self.left_ids = []
         text = TEXT + f"\nnodeName={instance}\nip={ip}\nzone={data_centre}\n"
         settings = parse_process_settings(text)
         self.clock = fleet.clock
         self.holder = RouteHolder()
-        self.registry = EndpointRegistry(self.clock, lambda entry: self.left.append(entry.id))
+        self.registry = EndpointRegistry(self.clock, lambda entry: self.left_ids.append(entry.id))
         self.load = LoadTracker(self.clock)
         self.peers = PeerTable(self.clock)
         self.crashes = CrashTracker(self.clock)
@@ -169,7 +169,7 @@
         for watch in self.source.watches:
             watch.random = random.Random(f"{instance} {watch.kind}")
 
-    # What the source needs of a reactor.
+    # Reactor interface.
 
     def seconds(self):
         return self.clock.seconds()
@@ -197,23 +197,25 @@
 
 
 class Fleet:
-    """Gateways by instance; also the adapter that their sources use.
+    """Gateways by instance; also serves as the platform adapter of their sources.
 
-    :ivar cuts: pairs of instances of which the second hears nothing of the first.
+    :ivar cuts: pairs (sender, receiver) of instances between which datagrams are dropped.
     """
 
     config_kind, config_name, endpoint_kind = CONFIG, "main", ENDPOINTS
     dialect = PlatformAdapter().dialect
 
-    def __init__(self, data_centres, per_data_centre, loses=lambda: False, endpoints=(), seed=7):
-        # Waits, pauses and limits are drawn: the same ones in each run of a test.
+    def __init__(
+        self, data_centres, per_data_centre, drops_datagram=lambda: False, endpoints=(), seed=7
+    ):
+        # Seeds the random waits, pauses and limits.
         random.seed(seed)
         self.clock = Clock()
         self.store = self.make_store()
         self.cuts = set()
-        self.loses = loses
+        self.drops_datagram = drops_datagram
         self.gateways = {}
-        self.bytes_far = 0
+        self.remote_bytes = 0
         self.configure(1)
         for id in endpoints:
             self.set_endpoint(id, "ready")
@@ -225,21 +227,21 @@
         return SharedStore(self.clock)
 
     def connect(self):
-        """A gateway's way to the store."""
+        """A new connection to the store."""
         return StoreLink(self.store)
 
     def add(self, instance, data_centre, ip):
         self.gateways[instance] = Gateway(self, instance, data_centre, ip)
 
     def deliver(self, sender, data, address):
-        """Carry a datagram, unless it is lost or cut off."""
+        """Deliver a datagram unless it is dropped."""
         found = (gateway for gateway in self.gateways.values() if gateway.ip == address[0])
         receiver = next(found, None)
         if receiver is None:
             return
         if sender.data_centre != receiver.data_centre:
-            self.bytes_far += len(data)
-        if (sender.instance, receiver.instance) in self.cuts or self.loses():
+            self.remote_bytes += len(data)
+        if (sender.instance, receiver.instance) in self.cuts or self.drops_datagram():
             return
         self.clock.callLater(0.001, self._arrive, receiver, data, (sender.ip, sender.port))
 
@@ -261,8 +263,8 @@
         for _ in range(round(seconds / STEP_SECONDS)):
             self.clock.advance(STEP_SECONDS)
 
-    def calls_in(self, seconds):
-        """Calls of the store that all gateways make in so long."""
+    def count_calls(self, seconds):
+        """Advance the clock and return the number of store calls made by all gateways."""
         before = self.store.calls
         self.pass_time(seconds)
         return self.store.calls - before
@@ -274,7 +276,7 @@
             if kind == ENDPOINTS and stored.value == "ready"
         }
 
-    # The adapter.
+    # Platform adapter interface.
 
     @staticmethod
     def decode_configuration(version):
--- a/tests/peers/test_peers.py
+++ b/tests/peers/test_peers.py
@@ -1,4 +1,4 @@
-"""Gateways' reports: any datagram, late and lost ones, silent peers, registration."""
+"""Gateways' reports: encoding, reordering, peer timeouts, registration, gossip schedule."""
 
 import contextlib
 
@@ -10,7 +10,11 @@
 from guavacleat.membership.registry import EndpointChange, EndpointRegistry, EndpointState
 from guavacleat.peers import PeerExchange, PeerTable
 from guavacleat.peers.directory import GatewayDirectory
-from guavacleat.peers.exchange import NEWS_SECONDS, REPEAT_SECONDS, RETELL_SECONDS
+from guavacleat.peers.exchange import (
+    CRASH_REPEAT_SECONDS,
+    FULL_REPORT_SECONDS,
+    RECENT_CHANGE_SECONDS,
+)
 from guavacleat.peers.report import BadReportError, GatewayReport, decode_report, encode_report
 from guavacleat.peers.sync import ConfigurationSyncState, EndpointSyncState
 from guavacleat.peers.table import PEER_TIMEOUT_SECONDS, RESTART_SECONDS
@@ -22,12 +26,12 @@
 COUNTS = st.integers(0, 2**31 - 1)
 LOADS = st.builds(EndpointLoad, COUNTS, COUNTS, COUNTS)
 
-# A datagram of four packets: a few of them a second are within a gateway's 12 KB.
+# About four packets; a few such reports per second are within a gateway's 12 KB a second.
 LARGEST_CRASH_REPORT_BYTES = 6000
 
 
 @given(st.text(max_size=20), st.dictionaries(st.text(max_size=20), LOADS, max_size=5))
-def test_reports_survive_the_wire(instance, loads):
+def test_reports_are_encoded_and_decoded(instance, loads):
     report = decode_report(encode_report(GatewayReport(instance, 7, 9, loads)))
     assert (report.instance, report.incarnation, report.sequence) == (instance, 7, 9)
     assert {
@@ -39,27 +43,27 @@
 
 
 @pytest.mark.parametrize("stops_in", [None, 0.0, 7.5])
-def test_a_stop_survives_the_wire(stops_in):
+def test_an_announced_stop_is_encoded_and_decoded(stops_in):
     report = GatewayReport("g1", 1, 1, {}, stops_in=stops_in)
     assert decode_report(encode_report(report)).stops_in == stops_in
 
 
 @pytest.mark.parametrize("away, silence", [(False, 0.2), (True, 4.5)])
-def test_what_a_gateway_hears_of_the_store_survives_the_wire(away, silence):
+def test_store_reachability_is_encoded_and_decoded(away, silence):
     sent = GatewayReport("g1", 1, 1, {}, store_away=away, store_silence=silence)
     report = decode_report(encode_report(sent))
     assert (report.store_away, report.store_silence) == (away, silence)
 
 
 @pytest.mark.parametrize("started_ms", [None, 1778085760007])
-def test_the_start_of_an_endpoint_survives_the_wire(started_ms):
+def test_an_endpoints_start_time_is_encoded_and_decoded(started_ms):
     change = EndpointChange("e1", 9, make_entry("e1", revision=9, started_ms=started_ms))
     report = decode_report(encode_report(GatewayReport("g1", 1, 1, {}, [change])))
     assert report.changes[0].entry.started_ms == started_ms
 
 
 @given(st.binary(max_size=100))
-def test_any_datagram_is_a_report_or_refused(data):
+def test_any_datagram_is_decoded_or_rejected(data):
     with contextlib.suppress(BadReportError):
         decode_report(data)
 
@@ -70,35 +74,31 @@
 
 
 @pytest.fixture
-def book(clock):
+def peer_table(clock):
     return PeerTable(clock)
 
 
-def test_a_late_report_does_not_replace_a_newer_one(book):
-    book.observe(report(sequence=2, expected=200))
-    book.observe(report(sequence=1, expected=100))
-    assert book.total("e1").peak_tokens == 200
+def test_a_delayed_report_does_not_replace_a_newer_one(peer_table):
+    peer_table.observe(report(sequence=2, expected=200))
+    peer_table.observe(report(sequence=1, expected=100))
+    assert peer_table.total("e1").peak_tokens == 200
 
 
-def test_a_restarted_peer_counts_from_one_again(book):
-    """
-    Symptom: the load of a restarted gateway is not seen.
-    Sequence: a peer at sequence 9 is killed; its next start reports with sequence 1.
-    Cause: sequences compare within one incarnation only.
-    """
-    book.observe(report(sequence=9, expected=900))
-    book.observe(report(incarnation=2, sequence=1, expected=100))
-    assert book.total("e1").peak_tokens == 100
+def test_a_restarted_peer_restarts_its_sequence(peer_table):
+    """Guards against ignored reports of a restarted peer; sequences count per incarnation."""
+    peer_table.observe(report(sequence=9, expected=900))
+    peer_table.observe(report(incarnation=2, sequence=1, expected=100))
+    assert peer_table.total("e1").peak_tokens == 100
 
 
-def test_a_silent_peer_counts_no_more(book, clock):
-    book.observe(report())
+def test_a_peer_that_timed_out_is_ignored(peer_table, clock):
+    peer_table.observe(report())
     clock.advance(PEER_TIMEOUT_SECONDS + 0.1)
-    assert book.total("e1").peak_tokens == 0
+    assert peer_table.total("e1").peak_tokens == 0
 
 
 class FakeStore:
-    """Registers gateways; ``failures`` calls fail first, and the name may be taken."""
+    """Registers gateways; the first ``failures`` calls fail; ``taken``: the name is registered."""
 
     def __init__(self, failures=0, taken=False):
         self.failures = failures
@@ -119,7 +119,7 @@
         return defer.succeed(WatchBatch(1, [stored]))
 
 
-class Datagrams:
+class FakeTransport:
     def __init__(self):
         self.sent = []
 
@@ -130,15 +130,15 @@
 @pytest.mark.parametrize(
     "version,told", [(7, 7), (None, None), ((1 << 63) - 1, (1 << 63) - 1), (1 << 63, None)]
 )
-def test_a_report_tells_the_configuration_in_force_whatever_its_version(version, told):
+def test_a_report_contains_any_configuration_version_that_fits(version, told):
     sent = GatewayReport("g1", 1, 1, {}, configuration=version)
     assert decode_report(encode_report(sent)).configuration == told
 
 
-def exchange(clock, store):
+def make_exchange(clock, store):
     load = LoadTracker(clock)
     registry = EndpointRegistry(clock)
-    found = PeerExchange(
+    peer_exchange = PeerExchange(
         clock,
         GatewayDirectory(clock, store, "g1", ("10.0.0.1", 7200), "dc1"),
         PeerTable(clock),
@@ -148,47 +148,47 @@
         EndpointSyncState(clock),
         CrashTracker(clock),
     )
-    found.transport = Datagrams()
-    found.startProtocol()
-    return found, load
+    peer_exchange.transport = FakeTransport()
+    peer_exchange.startProtocol()
+    return peer_exchange, load
 
 
-def test_a_gateway_registers_finds_the_others_and_reports_changes(clock):
-    found, load = exchange(clock, FakeStore())
+def test_a_gateway_registers_lists_the_others_and_reports_changes(clock):
+    peer_exchange, load = make_exchange(clock, FakeStore())
     load.begin("e1", Run("r1", peak_tokens=500, unread_tokens=300))
     clock.advance(0.02)
-    last, address = found.transport.sent[-1]
+    last, address = peer_exchange.transport.sent[-1]
     assert address == ("10.0.0.2", 7200)
     assert last.loads_by_endpoint["e1"].peak_tokens == 500
-    assert found.gateway_count() == 2
+    assert peer_exchange.gateway_count() == 2
 
 
-def test_registration_goes_on_until_the_store_answers(clock):
+def test_registration_is_retried_until_the_store_answers(clock):
     store = FakeStore(failures=2)
-    exchange(clock, store)
+    make_exchange(clock, store)
     assert store.written == []
     clock.advance(1.1)
     clock.advance(1.1)
     assert [name for name, _, _ in store.written] == ["g1"]
 
 
-def test_a_name_registered_by_an_earlier_start_is_taken_over(clock):
+def test_a_registration_of_a_previous_process_is_overwritten(clock):
     store = FakeStore(taken=True)
-    exchange(clock, store)
+    make_exchange(clock, store)
     assert [version for _, _, version in store.written] == [5]
 
 
-class Registered(FakeStore):
-    """Holds this gateway's address already, as an earlier start wrote it."""
+class AlreadyRegisteredStore(FakeStore):
+    """Holds this gateway's current address, written by a previous process."""
 
     def list_objects(self, kind):
         value = {"ip": "10.0.0.1", "port": 7200, "data_centre": "dc1"}
         return defer.succeed(WatchBatch(5, [StoredObject(kind, "g1", 5, 5, value)]))
 
 
-def test_an_address_that_is_registered_as_it_is_is_not_written_again(clock):
-    store = Registered(taken=True)
-    exchange(clock, store)
+def test_an_unchanged_registration_is_not_written_again(clock):
+    store = AlreadyRegisteredStore(taken=True)
+    make_exchange(clock, store)
     assert store.written == []
 
 
@@ -197,37 +197,29 @@
     return GatewayReport(instance, 1, sequence, {"e1": load}, data_centre="dc2", gateways=gateways)
 
 
-def test_one_summary_of_a_data_centre_counts_the_fuller_one(book, clock):
-    """
-    Symptom: engines look twice as full as they are, or empty by turns.
-    Sequence: both forwarders of a data centre send its sums; one of them hears half of it.
-    Cause: summaries of one data centre must not be added, and the emptier one knows less.
-    """
-    book.observe(summary("f1", gateways=3, expected=100))
-    book.observe(summary("f2", gateways=2, expected=60))
-    assert book.total("e1").peak_tokens == 100
+def test_only_the_summary_of_most_gateways_counts_per_data_centre(peer_table, clock):
+    """Guards against adding up the summaries of both forwarders, or using the less complete one."""
+    peer_table.observe(summary("f1", gateways=3, expected=100))
+    peer_table.observe(summary("f2", gateways=2, expected=60))
+    assert peer_table.total("e1").peak_tokens == 100
     clock.advance(PEER_TIMEOUT_SECONDS - 0.1)
-    book.observe(summary("f2", sequence=2, gateways=2, expected=70))
+    peer_table.observe(summary("f2", sequence=2, gateways=2, expected=70))
     clock.advance(0.2)
-    assert book.total("e1").peak_tokens == 70, "the first one is silent"
+    assert peer_table.total("e1").peak_tokens == 70, "the first forwarder has timed out"
 
 
-def test_a_neighbours_report_and_its_data_centres_summary_are_kept_apart(book):
-    book.observe(report(expected=100))
-    book.observe(summary("f1", expected=60))
-    assert book.total("e1").peak_tokens == 160
-    assert [near.instance for near in book.alive()] == ["g2"]
+def test_neighbours_reports_and_summaries_are_stored_separately(peer_table):
+    peer_table.observe(report(expected=100))
+    peer_table.observe(summary("f1", expected=60))
+    assert peer_table.total("e1").peak_tokens == 160
+    assert [near.instance for near in peer_table.alive()] == ["g2"]
 
 
-def test_whoever_sends_is_known_from_then_on(clock):
-    """
-    Symptom: a gateway never hears of one that started after it.
-    Sequence: gateways list each other at their start only.
-    Cause: the later one sends first, and its address is learnt from its datagram.
-    """
-    found, _ = exchange(clock, FakeStore())
-    found.datagramReceived(encode_report(report("g9")), ("10.0.0.9", 7200))
-    assert found.directory.near_by_instance["g9"] == ("10.0.0.9", 7200)
+def test_a_senders_address_is_learnt_from_its_datagram(clock):
+    """Guards against unknown gateways that started after this one had listed the others."""
+    peer_exchange, _ = make_exchange(clock, FakeStore())
+    peer_exchange.datagramReceived(encode_report(report("g9")), ("10.0.0.9", 7200))
+    assert peer_exchange.directory.local_addresses_by_instance["g9"] == ("10.0.0.9", 7200)
 
 
 CHANGES = [
@@ -238,98 +230,85 @@
 
 
 @pytest.mark.parametrize("change", CHANGES)
-def test_changes_of_endpoints_survive_the_wire(change):
-    (found,) = decode_report(encode_report(GatewayReport("g2", 1, 1, {}, [change]))).changes
-    assert (found.id, found.revision) == (change.id, change.revision)
-    assert (found.entry is None) == (change.entry is None)
+def test_endpoint_changes_are_encoded_and_decoded(change):
+    (decoded,) = decode_report(encode_report(GatewayReport("g2", 1, 1, {}, [change]))).changes
+    assert (decoded.id, decoded.revision) == (change.id, change.revision)
+    assert (decoded.entry is None) == (change.entry is None)
     if change.entry is not None:
-        assert found.entry.address == change.entry.address
-        assert found.entry.state is change.entry.state
-
-
-def test_a_gateway_without_the_store_hears_of_endpoints_from_its_peers(clock):
-    """
-    Symptom: streams of one gateway are cut whenever an engine is taken away, others' are not.
-    Sequence: the gateway is cut off from the store; an engine drains and another comes; a peer
-    reports both.
-    Cause: the store was the only way to learn of either.
-    """
-    found, _ = exchange(clock, FakeStore())
-    left = []
-    found.registry.on_leaving = left.append
-    found.registry.observe(make_entry("e1", revision=1))
+        assert decoded.entry.address == change.entry.address
+        assert decoded.entry.state is change.entry.state
+
+
+def test_endpoint_changes_reported_by_a_peer_are_applied(clock):
+    """Guards against missed drains and registrations in a gateway that cannot reach the store."""
+    peer_exchange, _ = make_exchange(clock, FakeStore())
+    leaving_entries = []
+    peer_exchange.registry.on_leaving = leaving_entries.append
+    peer_exchange.registry.observe(make_entry("e1", revision=1))
     changes = [
         EndpointChange("e1", 5, make_entry("e1", state=EndpointState.DRAINING, revision=5)),
         EndpointChange("e9", 6, make_entry("e9", revision=6)),
     ]
     data = encode_report(GatewayReport("g2", 1, 1, {}, changes))
-    found.datagramReceived(data, ("10.0.0.2", 7200))
-    assert [gone.id for gone in left] == ["e1"]
-    assert [ready.id for ready in found.registry.ready("svc")] == ["e9"]
+    peer_exchange.datagramReceived(data, ("10.0.0.2", 7200))
+    assert [gone.id for gone in leaving_entries] == ["e1"]
+    assert [ready.id for ready in peer_exchange.registry.ready("svc")] == ["e9"]
 
 
-def test_what_was_learnt_is_told_to_peers(clock):
-    found, _ = exchange(clock, FakeStore())
-    found.registry.observe(make_entry("e1", revision=3))
+def test_endpoint_changes_are_reported_to_peers(clock):
+    peer_exchange, _ = make_exchange(clock, FakeStore())
+    peer_exchange.registry.observe(make_entry("e1", revision=3))
     clock.advance(0.02)
-    report_sent, _ = found.transport.sent[-1]
-    assert [(change.id, change.revision) for change in report_sent.changes] == [("e1", 3)]
+    last_report, _ = peer_exchange.transport.sent[-1]
+    assert [(change.id, change.revision) for change in last_report.changes] == [("e1", 3)]
 
 
-def test_plain_requests_cause_no_reports(clock):
-    found, load = exchange(clock, FakeStore())
-    sent = len(found.transport.sent)
+def test_requests_without_generation_cause_no_reports(clock):
+    peer_exchange, load = make_exchange(clock, FakeStore())
+    sent = len(peer_exchange.transport.sent)
     load.begin("e1", Run("r1"))
     clock.advance(0.1)
-    assert len(found.transport.sent) == sent
+    assert len(peer_exchange.transport.sent) == sent
 
 
-def test_a_peer_that_is_being_stopped_is_expected_back_after_its_end(book, clock):
-    assert book.seconds_until_ready() is None
-    book.observe(GatewayReport("g2", 1, 1, {}, stops_in=4.0))
+def test_a_stopping_peer_is_expected_to_be_ready_after_its_restart(peer_table, clock):
+    assert peer_table.seconds_until_ready() is None
+    peer_table.observe(GatewayReport("g2", 1, 1, {}, stops_in=4.0))
     clock.advance(3.0)
-    assert book.seconds_until_ready() == 1.0 + RESTART_SECONDS
+    assert peer_table.seconds_until_ready() == 1.0 + RESTART_SECONDS
     clock.advance(1.0 + RESTART_SECONDS)
-    assert book.seconds_until_ready() == 0.0
+    assert peer_table.seconds_until_ready() == 0.0
     clock.advance(PEER_TIMEOUT_SECONDS + 0.1)
-    assert book.seconds_until_ready() is None, "it did not come back"
-    book.observe(GatewayReport("g3", 1, 1, {}))
-    assert book.seconds_until_ready() == 0.0
-
-
-def test_a_change_is_told_as_news_and_then_now_and_then(clock):
-    """
-    Symptom: reports are most of what 28 gateways send between data centres.
-    Sequence: engines come and go all the time; each report, at every change of load, repeats the
-    changes of 15 s to each peer.
-    Cause: what all have heard long ago made most of every report.
-    """
-    found, load = exchange(clock, FakeStore())
-    found.registry.observe(make_entry("e1", revision=5))
+    assert peer_table.seconds_until_ready() is None, "the peer did not restart"
+    peer_table.observe(GatewayReport("g3", 1, 1, {}))
+    assert peer_table.seconds_until_ready() == 0.0
+
+
+def test_a_change_is_in_all_reports_at_first_and_then_in_full_reports_only(clock):
+    """Guards against reports that consist mostly of old endpoint changes."""
+    peer_exchange, load = make_exchange(clock, FakeStore())
+    peer_exchange.registry.observe(make_entry("e1", revision=5))
     sent = []
     for number in range(80):
-        found.transport.sent.clear()
+        peer_exchange.transport.sent.clear()
         load.begin("e1", Run(f"r{number}", peak_tokens=500))
         clock.advance(0.1)
-        sent.append(any(report.changes for report, _ in found.transport.sent))
-    news = round(NEWS_SECONDS / 0.1)
+        sent.append(any(report.changes for report, _ in peer_exchange.transport.sent))
+    news = round(RECENT_CHANGE_SECONDS / 0.1)
     assert all(sent[:news])
-    assert 2 <= sum(sent[news + 1 :]) <= 80 * 0.1 / RETELL_SECONDS + 1
+    assert 2 <= sum(sent[news + 1 :]) <= 80 * 0.1 / FULL_REPORT_SECONDS + 1
 
 
-# What one datagram can carry.
+# Maximum payload of a UDP datagram.
 DATAGRAM_BYTES = 65_507
 
 
 def test_a_summary_of_400_gateways_fits_a_datagram():
-    """
-    Pattern: 400 gateways in 7 data centres before 1,700 engines, all of them in use by each data
-    centre, 100 of which changed lately.
-    """
+    """400 gateways in 7 data centres use 1,700 engines, 100 of which have changed recently."""
     ids = [f"i-{number:010x}" for number in range(1700)]
     loads = {id: EndpointLoad(24, 34_000, 3_000) for id in ids}
     changes = [EndpointChange(id, 10**6, make_entry(id, revision=10**6)) for id in ids[:100]]
-    told = GatewayReport(
+    large_summary = GatewayReport(
         "front-heliopolis-57",
         1 << 61,
         10**6,
@@ -339,32 +318,32 @@
         gateways=57,
         endpoints_revision=10**6,
     )
-    assert len(encode_report(told)) <= DATAGRAM_BYTES
+    assert len(encode_report(large_summary)) <= DATAGRAM_BYTES
 
 
-def test_crashes_are_told_at_once_and_not_with_each_report_of_load(clock):
-    """Guards against reports that repeat a rack's worth of crashes many times a second."""
-    found, load = exchange(clock, FakeStore())
-    book = found.crashes.book
+def test_crashes_are_reported_at_once_but_not_in_each_load_report(clock):
+    """Guards against reports that repeat the crashes of a whole rack many times a second."""
+    peer_exchange, load = make_exchange(clock, FakeStore())
+    tracker = peer_exchange.crashes.tracker
     for number in range(100):
-        book.confirm(book.request_interrupted(f"e{number}", number))
+        tracker.confirm(tracker.request_interrupted(f"e{number}", number))
     clock.advance(0.02)
-    told = [report.crashes for report, _ in found.transport.sent if report.crashes]
-    assert sum(len(end.fingerprints) for end in told[-1].ends) == 100
-    before = len(told)
+    sent_crashes = [report.crashes for report, _ in peer_exchange.transport.sent if report.crashes]
+    assert sum(len(end.fingerprints) for end in sent_crashes[-1].ends) == 100
+    before = len(sent_crashes)
     for number in range(100):
         load.begin("e1", Run(f"r{number}", peak_tokens=500))
         clock.advance(0.01)
-    told = [report.crashes for report, _ in found.transport.sent if report.crashes]
-    assert len(told) - before <= 1.0 / REPEAT_SECONDS + 1
+    sent_crashes = [report.crashes for report, _ in peer_exchange.transport.sent if report.crashes]
+    assert len(sent_crashes) - before <= 1.0 / CRASH_REPEAT_SECONDS + 1
 
 
-def test_what_is_told_of_crashes_is_bounded(clock):
-    found, _ = exchange(clock, FakeStore())
-    book = found.crashes.book
+def test_the_size_of_reported_crashes_is_bounded(clock):
+    peer_exchange, _ = make_exchange(clock, FakeStore())
+    tracker = peer_exchange.crashes.tracker
     for endpoint in range(200):
         for request in range(40):
-            end = book.request_interrupted(f"i-{endpoint:08}", 1000 * endpoint + request)
-        book.confirm(end)
-    report = found._message({}, found._news, True)
+            end = tracker.request_interrupted(f"i-{endpoint:08}", 1000 * endpoint + request)
+        tracker.confirm(end)
+    report = peer_exchange._build_report({}, peer_exchange._schedule, True)
     assert len(encode_report(report)) <= LARGEST_CRASH_REPORT_BYTES
--- a/tests/peers/test_sync_machine.py
+++ b/tests/peers/test_sync_machine.py
@@ -1,10 +1,9 @@
-"""A hypothesis state machine: gateways hear of the store through each other, under faults.
+"""A hypothesis state machine: gateways stay in sync with the store by gossip, under faults.
 
-Rules: configurations and endpoints change; the store turns gateways away or goes silent for them,
-or forgets its history; gateways are cut off from peers, one way too; they are killed and start
-again; datagrams are lost. Invariants: no gateway's configuration goes back; within a bound after
-the last fault that concerned it, a gateway that reaches the store or a peer that does knows all
-that the store held before.
+Rules: configurations and endpoints change; the store refuses or doesn't answer gateways' calls, or
+compacts its history; gateways are partitioned from peers, also in one direction; they restart;
+datagrams are lost. Invariants: a gateway's configuration version never decreases; within a bound
+after the last fault, a gateway that reaches the store knows the store's state.
 """
 
 import random
@@ -20,16 +19,16 @@
 DATA_CENTRES, PER_DATA_CENTRE = 2, 4
 GATEWAYS = [f"g{dc}-{n}" for dc in range(DATA_CENTRES) for n in range(PER_DATA_CENTRE)]
 ENDPOINTS = ["e1", "e2", "e3"]
-# Knowledge is given up as stale, a call of the store fails by its own time, the next one tells.
+# Gossiped state expires, a store call times out, and the next one succeeds.
 BOUND_SECONDS = STALE_SECONDS[1] + 2.8 + GAP_SECONDS + 0.7
 
 
-class HearingMachine(RuleBasedStateMachine):
+class SyncMachine(RuleBasedStateMachine):
     @initialize(seed=st.integers(0, 1000), loss=st.sampled_from([0.0, 0.05, 0.3]))
     def setup(self, seed, loss):
-        draws = random.Random(seed)
-        loses = lambda: draws.random() < loss  # noqa: E731
-        self.fleet = Fleet(DATA_CENTRES, PER_DATA_CENTRE, loses=loses, seed=seed)
+        rng = random.Random(seed)
+        drops_datagram = lambda: rng.random() < loss  # noqa: E731
+        self.fleet = Fleet(DATA_CENTRES, PER_DATA_CENTRE, drops_datagram=drops_datagram, seed=seed)
         self.version = 1
         self.versions_by_gateway = {}
         for id in ENDPOINTS:
@@ -46,7 +45,7 @@
         self.fleet.set_endpoint(id, state)
 
     @rule(id=st.sampled_from(ENDPOINTS))
-    def endpoint_goes(self, id):
+    def endpoint_is_removed(self, id):
         if ("servers", id) in self.fleet.store.objects:
             self.fleet.remove_endpoint(id)
 
@@ -54,17 +53,17 @@
         names=st.sets(st.sampled_from(GATEWAYS), max_size=6),
         state=st.sampled_from(["open", "refused", "silent"]),
     )
-    def store_serves(self, names, state):
+    def store_state_changes(self, names, state):
         for name in names:
             self.fleet.gateways[name].link.set_state(state)
 
     @rule()
-    def store_forgets(self):
+    def store_compacts_history(self):
         self.fleet.store.compact()
 
-    @rule(deaf=st.sets(st.sampled_from(GATEWAYS), max_size=3))
-    def peers_are_cut(self, deaf):
-        self.fleet.cuts = {(sender, name) for sender in GATEWAYS for name in deaf}
+    @rule(receivers=st.sets(st.sampled_from(GATEWAYS), max_size=3))
+    def peers_are_partitioned(self, receivers):
+        self.fleet.cuts = {(sender, name) for sender in GATEWAYS for name in receivers}
 
     @rule(name=st.sampled_from(GATEWAYS))
     def gateway_restarts(self, name):
@@ -78,7 +77,7 @@
         self.fleet.pass_time(seconds)
 
     @invariant()
-    def configurations_never_go_back(self):
+    def configuration_versions_never_decrease(self):
         if not hasattr(self, "fleet"):
             return
         for name, gateway in self.fleet.gateways.items():
@@ -89,7 +88,7 @@
     def teardown(self):
         if not hasattr(self, "fleet"):
             return
-        # What is cut stays cut: whoever reaches the store, or hears one that does, must know.
+        # Faults persist here; gateways that reach the store must know its state.
         self.fleet.pass_time(BOUND_SECONDS)
         ready = self.fleet.ready_in_store()
         for name, gateway in self.fleet.gateways.items():
@@ -98,5 +97,5 @@
                 assert gateway.ready_ids() == ready, name
 
 
-HearingMachine.TestCase.settings = settings(max_examples=examples(60), stateful_step_count=15)
-test_what_the_store_holds_is_known_in_time = HearingMachine.TestCase
+SyncMachine.TestCase.settings = settings(max_examples=examples(60), stateful_step_count=15)
+test_gateways_stay_in_sync_with_the_store = SyncMachine.TestCase
