--- a/src/guavacleat/admission/__init__.py
+++ b/src/guavacleat/admission/__init__.py
@@ -1,4 +1,5 @@
-"""Admission of requests: fair queues, bounds per client account, refusal as not run.
+"""Request admission: fair queues, queue limits per client account, and early refusal.
 
-Import from the modules: the ingress uses few of them and must stay small.
+Import from the modules directly: the ingress needs only some of them, and its memory footprint
+must stay small.
 """
--- a/src/guavacleat/admission/account_limit.py
+++ b/src/guavacleat/admission/account_limit.py
@@ -1,7 +1,6 @@
-"""Per client account bound on requests a gateway has waiting at once.
+"""Limit on the number of requests that a client account may have queued in one gateway.
 
-A request over its account's bound is refused at once as not run, with the time to come back;
-it is never held until near its deadline.
+A request over the limit is refused immediately, before it has run, with a retry delay.
 """
 
 from guavacleat.config.model import Limits
@@ -11,23 +10,23 @@
 
 
 class AccountQueueLimit:
-    """Counts requests held by account and refuses those over the account's bound."""
+    """Counts queued requests by account and refuses those over the account's limit."""
 
     def __init__(self):
-        self.held_by_account: dict[str, int] = {}
+        self.waiting_by_account: dict[str, int] = {}
 
     def enter(self, limits: Limits, account: str) -> None:
-        """Count the request in, or raise NotRunError naming when to come back."""
-        held = self.held_by_account.get(account, 0)
-        if held >= limits.queue_per_account:
+        """Count a queued request; raises NotRunError with a retry delay if the queue is full."""
+        waiting = self.waiting_by_account.get(account, 0)
+        if waiting >= limits.queue_per_account:
             raise NotRunError(
-                f"client account {account} has {held} requests waiting.",
+                f"client account {account} has {waiting} requests waiting.",
                 f"retry after {limits.retry_after} s or raise limits.queue_per_account.",
                 retry_after=limits.retry_after,
             )
-        self.held_by_account[account] = held + 1
+        self.waiting_by_account[account] = waiting + 1
 
     def leave(self, account: str) -> None:
-        self.held_by_account[account] -= 1
-        if not self.held_by_account[account]:
-            del self.held_by_account[account]
+        self.waiting_by_account[account] -= 1
+        if not self.waiting_by_account[account]:
+            del self.waiting_by_account[account]
--- a/src/guavacleat/admission/queues.py
+++ b/src/guavacleat/admission/queues.py
@@ -1,11 +1,11 @@
-"""Queues of requests waiting for an endpoint, per service: which one goes next.
-
-:class:`FairQueue` is the product's: weighted fair queueing in virtual time over tokens. An
-account's virtual time is the tokens it has had, divided by its weight; the account with the
-least goes next. Tokens and not requests are shared, because output lengths are unknown and
-heavy-tailed: an account sending long summaries would otherwise get many times the engine time
-of one sending intent tags. An output's tokens are charged as expected when it starts and put
-right when it ends. :class:`FifoQueue` is the baseline.
+"""Queueing disciplines for the requests of one service.
+
+:class:`FairQueue`, the default, is weighted fair queueing over tokens. An account's virtual time is
+the tokens that it has been charged divided by its weight, and the account with the smallest is
+served next. Accounts share tokens rather than requests because output lengths are heavy-tailed: by
+requests, an account with long outputs would get many times the engine time of one with short
+outputs. The expected output is charged at the start and corrected at the end. :class:`FifoQueue` is
+a baseline for comparison.
 """
 
 import heapq
@@ -20,27 +20,23 @@
     "get_queue_by_name",
 ]
 
-# What reading one prompt token costs next to emitting one output token: an engine reads 14
-# prompt tokens in a millisecond and emits a token of each of some 20 streams every 7 (the users'
-# engines), so about 0.2 of the time.
+# Engine time for the prefill of one prompt token, relative to one output token.
 PROMPT_TOKEN_COST = 0.2
-# An output expected to be at most this many tokens counts as short.
+# Maximum expected tokens of an output that counts as short.
 SHORT_OUTPUT = 64
 
-# How far, in tokens per unit of weight, an account's most urgent requests may run ahead of
-# accounts that are owed more. It lets an interactive request pass batch work of others, and its
-# being bounded keeps any account from being starved by others' urgent classes.
+# Virtual time, in tokens per unit of weight, by which requests of priority 0 are advanced, so that
+# they overtake batch requests of other accounts without starving them.
 PRIORITY_LEAD = 500.0
-# How far, in the same units, an account that asked for little may be owed. With none, a small
-# account's second request in a row waits until its share has paid for the first, although the
-# account was idle before; more than a request or two and others would notice its return.
+# Virtual time by which an idle account may lag behind, so that it can send a short burst when it
+# becomes active again without delaying other accounts by much.
 IDLE_CREDIT = 1500.0
-# Accounts whose next request is looked at when the head has no room.
-GAP_ACCOUNTS = 8
+# Number of accounts whose next request is considered for backfilling.
+BACKFILL_ACCOUNTS = 8
 
 
 class FifoQueue:
-    """Baseline: requests in order of arrival."""
+    """Baseline: first in, first out."""
 
     def __init__(self):
         self.entries: list = []
@@ -58,30 +54,30 @@
         """The entry to dispatch next, or None."""
         return self.entries[0] if self.entries else None
 
-    def others(self):
-        """Entries that may go before a head that has no room: none, in order of arrival."""
+    def backfill_candidates(self):
+        """Entries that may be dispatched before a blocked head: none."""
         return ()
 
     def remove(self, entry) -> None:
         self.entries.remove(entry)
 
     def charge(self, request, tokens: float) -> None:
-        """Order of arrival charges nobody."""
+        """Do nothing: the order does not depend on usage."""
 
-    def work_before(self, request, cost: float) -> float:
-        """Tokens that will be dispatched before ``request``, which is expected to cost ``cost``."""
+    def tokens_ahead(self, request, cost: float) -> float:
+        """Tokens dispatched before ``request``, which is expected to cost ``cost``."""
         return len(self.entries) * cost
 
 
 class FairQueue:
-    """Weighted fair queueing over tokens, with a bounded lead for urgent classes."""
+    """Weighted fair queueing over tokens, with bounded priority for urgent requests."""
 
     def __init__(self):
-        self.numbers = itertools.count()
-        self.time_by_account: dict[str, float] = {}
+        self.sequence_numbers = itertools.count()
+        self.virtual_time_by_account: dict[str, float] = {}
         self.heaps_by_account: dict[str, list] = {}
-        self.served_time = -PRIORITY_LEAD
-        # Of the accounts with requests waiting.
+        self.virtual_time = -PRIORITY_LEAD
+        # Weights of the accounts with queued requests.
         self.weights_by_account: dict[str, float] = {}
         self.waiting_weight = 0.0
         self.front: list = []
@@ -90,25 +86,27 @@
         return len(self.front) + sum(len(heap) for heap in self.heaps_by_account.values())
 
     def push(self, entry, front: bool = False) -> None:
-        """Add an entry; ``front``: before all others (a stream whose endpoint failed)."""
+        """Add an entry; with ``front`` before all others (a stream whose endpoint failed)."""
         if front:
             self.front.append(entry)
             return
         account = entry.request.account
         if account not in self.heaps_by_account:
-            self._becomes_active(account)
+            self._activate_account(account)
             self.heaps_by_account[account] = []
         weight = entry.request.weight
         self.waiting_weight += weight - self.weights_by_account.get(account, 0.0)
         self.weights_by_account[account] = weight
-        item = (entry.request.priority, next(self.numbers), entry)
+        item = (entry.request.priority, next(self.sequence_numbers), entry)
         heapq.heappush(self.heaps_by_account[account], item)
 
-    def _becomes_active(self, account: str) -> None:
-        # An account that asked for nothing for an hour would otherwise come back owed an hour of
-        # everybody's tokens, and stall all others until it had been paid.
-        floor = self.served_time - IDLE_CREDIT
-        self.time_by_account[account] = max(self.time_by_account.get(account, floor), floor)
+    def _activate_account(self, account: str) -> None:
+        # Without a floor, an account that was idle for an hour would be served alone until its
+        # virtual time has caught up.
+        floor = self.virtual_time - IDLE_CREDIT
+        self.virtual_time_by_account[account] = max(
+            self.virtual_time_by_account.get(account, floor), floor
+        )
 
     def head(self):
         """The entry to dispatch next, or None."""
@@ -120,20 +118,22 @@
         return self.heaps_by_account[account][0][2]
 
     def _start_time(self, account: str) -> float:
-        return self.time_by_account[account] - _lead(self.heaps_by_account[account][0][0])
+        return self.virtual_time_by_account[account] - _priority_lead(
+            self.heaps_by_account[account][0][0]
+        )
 
-    def others(self):
-        """The next entries of the accounts next in turn; the head's own comes first."""
-        accounts = heapq.nsmallest(GAP_ACCOUNTS, self.heaps_by_account, key=self._start_time)
+    def backfill_candidates(self):
+        """The first entry of each of the next accounts, in order, including the head's."""
+        accounts = heapq.nsmallest(BACKFILL_ACCOUNTS, self.heaps_by_account, key=self._start_time)
         return [self.heaps_by_account[account][0][2] for account in accounts]
 
     def remove(self, entry) -> None:
-        """Take an entry out: it is dispatched, or given up."""
+        """Remove an entry that is dispatched or refused."""
         if entry in self.front:
             self.front.remove(entry)
             return
         account = entry.request.account
-        self.served_time = max(self.served_time, self._start_time(account))
+        self.virtual_time = max(self.virtual_time, self._start_time(account))
         heap = [item for item in self.heaps_by_account[account] if item[2] is not entry]
         if heap:
             heapq.heapify(heap)
@@ -143,26 +143,25 @@
             self.waiting_weight -= self.weights_by_account.pop(account)
 
     def charge(self, request, tokens: float) -> None:
-        """Charge an account for tokens (negative: give some back)."""
-        time = self.time_by_account.get(request.account, self.served_time)
-        self.time_by_account[request.account] = time + tokens / request.weight
+        """Charge an account for tokens; a negative number is a refund."""
+        time = self.virtual_time_by_account.get(request.account, self.virtual_time)
+        self.virtual_time_by_account[request.account] = time + tokens / request.weight
 
-    def work_before(self, request, cost: float) -> float:
-        """Tokens that will be dispatched before ``request``, which is expected to cost ``cost``.
+    def tokens_ahead(self, request, cost: float) -> float:
+        """Tokens dispatched before ``request``, which is expected to cost ``cost``.
 
-        While its account's virtual time goes from where the queue is to where the request would
-        start, every waiting account is served in proportion to its weight. An account that is
-        owed something still has its own requests before this one.
+        Until the queue's virtual time reaches the request's start time, every waiting account is
+        served in proportion to its weight. The account's own earlier requests are the minimum.
         """
         heap = self.heaps_by_account.get(request.account, ())
         ahead = sum(priority <= request.priority for priority, _, _ in heap)
-        time = self.time_by_account.get(request.account, self.served_time)
-        start = time + ahead * cost / request.weight - _lead(request.priority)
+        time = self.virtual_time_by_account.get(request.account, self.virtual_time)
+        start = time + ahead * cost / request.weight - _priority_lead(request.priority)
         weight = self.waiting_weight + (0.0 if heap else request.weight)
-        return max((ahead + 1) * cost, (start - self.served_time) * weight)
+        return max((ahead + 1) * cost, (start - self.virtual_time) * weight)
 
 
-def _lead(priority: int) -> float:
+def _priority_lead(priority: int) -> float:
     return PRIORITY_LEAD / (1 + priority)
 
 
@@ -170,5 +169,5 @@
 
 
 def get_queue_by_name(name: str):
-    """A new queue; raises KeyError if there is none of that name."""
+    """Create a queue; raises KeyError for an unknown name."""
     return QUEUES_BY_NAME[name]()
--- a/src/guavacleat/placement/__init__.py
+++ b/src/guavacleat/placement/__init__.py
@@ -1,4 +1,4 @@
-"""Where a request goes: what runs on each endpoint, and which endpoint has room."""
+"""Endpoint selection: the load of each endpoint, and the choice among them."""
 
 from guavacleat.placement.choice import Placement
 from guavacleat.placement.load import EndpointLoad, LoadTracker, Run, sum_loads
--- a/src/guavacleat/placement/choice.py
+++ b/src/guavacleat/placement/choice.py
@@ -1,4 +1,4 @@
-"""Choosing an endpoint by what runs there, how it has fared, and how far away it is."""
+"""Endpoint selection by load, recent failures and data centre."""
 
 import random
 
@@ -8,46 +8,45 @@
 
 __all__ = ["Placement"]
 
-# What a failing endpoint's recent failures weigh against a slot's worth of load: one that always
-# fails is asked only when all others carry this many times more.
+# Weight of an endpoint's failure rate, against its load per slot for plain requests and seconds of
+# waiting for generations.
 FAILURE_WEIGHT = 4.0
-# A failure older than this counts for nothing, so that an endpoint that has recovered gets work
-# again without a probe.
-FAILURE_MEMORY_SECONDS = 5.0
-# Load difference below which the own data centre is preferred: bytes between them are paid for.
+# Older failures are ignored, so that an endpoint that has recovered gets requests without a probe.
+FAILURE_WINDOW_SECONDS = 5.0
+# Load difference below which the local data centre is preferred, because traffic between data
+# centres is billed.
 LOCAL_BIAS = 0.1
-# Prompt tokens that an engine reads in a second while it also decodes: about half of the 14 a
-# millisecond that it reads when it does nothing else.
-READ_TOKENS_PER_SECOND = 7000.0
-# Seconds that a full memory weighs, growing from nothing at ``USABLE_MEMORY``. Beyond it a run
-# would wait for another's end, several seconds, or be preempted.
-FULL_SECONDS = 6.0
-# What a batch slot in use weighs: each running generation slows the step by some 2 %.
+# Prefill rate of an engine that is also decoding.
+PREFILL_TOKENS_PER_SECOND = 7000.0
+# Cost of full engine memory, rising linearly from 0 at ``USABLE_MEMORY_SHARE``: a further run
+# waits for another to end or is preempted.
+MEMORY_PRESSURE_SECONDS = 6.0
+# Cost of each batch slot in use, because every running generation slows down the others.
 SLOT_SECONDS = 0.02
-# Weight of the share of memory in use, so that memory fills evenly: what an engine holds when it
-# is taken away must be moved within a second or two.
-SPREAD_SECONDS = 0.5
-# Memory above this share counts as full: outputs grow past what was expected of them.
-USABLE_MEMORY = 0.92
-# Memory share up to which generations are begun. Beyond it the engine would preempt the newest.
-FULL_MEMORY = 1.0
-# Prompt tokens that may wait to be read on an engine when it is given another: so many that it
-# never idles, so few that little is lost with an engine that leaves.
-READ_AHEAD_TOKENS = 2000
-# Backups go only where memory stays below this share with them: the rest is for generations that
-# come, and for those of an engine that is taken away.
-BACKUP_MEMORY = 0.6
-# No backups for so long after an engine left: while engines are taken away one after the other,
-# their links are needed for the copies off them, and the memory for what arrives.
-BACKUP_QUIET_SECONDS = 5.0
-# Share of an endpoint's slots in use up to which it is quiet.
-QUIET_SHARE = 0.25
+# Cost per share of memory in use, so that the memory of all engines fills evenly: the runs of a
+# reclaimed engine have to be moved within a second or two.
+MEMORY_SPREAD_SECONDS = 0.5
+# Memory share above which an engine counts as full, as outputs may exceed their expected length.
+USABLE_MEMORY_SHARE = 0.92
+# Memory share up to which generations are started. Beyond it the engine preempts the newest.
+MAX_MEMORY_SHARE = 1.0
+# Maximum prompt tokens awaiting prefill on an engine that gets another request: enough to keep the
+# engine busy, with few requests lost if it leaves.
+MAX_PENDING_PREFILL_TOKENS = 2000
+# Maximum memory share including backups. The rest is for new generations and for those moved off
+# reclaimed engines.
+BACKUP_MEMORY_SHARE = 0.6
+# No backups are made for this time after an engine leaves: while engines are being reclaimed, the
+# links and the memory are needed to move their runs.
+BACKUP_HOLDOFF_SECONDS = 5.0
+# Maximum share of slots in use on a lightly loaded endpoint.
+LIGHT_LOAD_SHARE = 0.25
 
 
 class Placement:
     """Chooses among the ready endpoints of a service.
 
-    :param avoided: returns ids of endpoints that get new work only if there are no others.
+    :param avoided: returns the ids of endpoints that get new requests only if there are no others.
     """
 
     def __init__(
@@ -65,12 +64,12 @@
         self.random = random.Random(seed)
 
     def choose_for_call(self, service: str, exclude: set[str]) -> EndpointEntry | None:
-        """The endpoint for a plain request: fewest requests per slot, least failing."""
+        """The endpoint for a plain request: the fewest requests per slot and recent failures."""
         ready = self.ready(service, exclude)
         return min(ready, key=self._call_cost, default=None)
 
     def ready(self, service: str, exclude: set[str]) -> list[EndpointEntry]:
-        """Endpoints of ``service`` that take new work, but for ``exclude`` (ids)."""
+        """Endpoints of ``service`` that accept new requests, without those in ``exclude`` (ids)."""
         ready = [entry for entry in self.registry.ready(service) if entry.id not in exclude]
         avoided = self.avoided()
         if not avoided:
@@ -78,7 +77,7 @@
         return [entry for entry in ready if entry.id not in avoided] or ready
 
     def least_loaded(self, request, exclude: set[str]) -> EndpointEntry | None:
-        """The endpoint on which least runs, for a request that may end it; None if none has room.
+        """The endpoint with the fewest runs, for a request that may crash it; None if all are full.
 
         :param request: a ``ForwardedRequest``.
         """
@@ -89,54 +88,55 @@
         return min(ready, key=lambda entry: self.load.total(entry.id).runs, default=None)
 
     def is_lightly_loaded(self, entry: EndpointEntry) -> bool:
-        """Whether so little runs there that its end would be noticed by few callers."""
-        return self.load.total(entry.id).runs <= QUIET_SHARE * entry.slots
+        """Whether a crash of the endpoint would affect few callers."""
+        return self.load.total(entry.id).runs <= LIGHT_LOAD_SHARE * entry.slots
 
     def choose_for_generation(self, request, exclude: set[str]) -> EndpointEntry | None:
-        """The engine for a generation that may begin now; None if it should wait for room.
+        """The engine for a generation; None if it should wait for capacity.
 
         :param request: a ``ForwardedRequest`` for a service with engines.
         """
         engine, expected = request.traits.engine, request.expected_tokens()
-        roomy = [
+        available = [
             entry
             for entry in self.ready(request.service, exclude)
             if self._has_room(entry, expected, engine)
         ]
-        return min(roomy, key=lambda entry: self._run_cost(entry, expected, engine), default=None)
+        return min(
+            available, key=lambda entry: self._run_cost(entry, expected, engine), default=None
+        )
 
     def _has_room(self, entry: EndpointEntry, expected: int, engine: EngineTraits) -> bool:
         load = self.load.total(entry.id)
         if load.runs == 0:
             return True
         return (
-            load.unread_tokens <= READ_AHEAD_TOKENS
+            load.unread_tokens <= MAX_PENDING_PREFILL_TOKENS
             and load.runs < engine.slots
-            and self.memory_share(entry, expected, engine) <= FULL_MEMORY
+            and self.memory_share(entry, expected, engine) <= MAX_MEMORY_SHARE
         )
 
     def latest_start(self, request) -> float:
-        """Clock time at which the prompt must be handed to an idle engine to be on time."""
-        reading = request.prompt_tokens / READ_TOKENS_PER_SECOND
-        return request.arrived + request.route.latency_goal - reading
+        """Latest clock time at which an idle engine can meet the request's latency goal."""
+        prefill_seconds = request.prompt_tokens / PREFILL_TOKENS_PER_SECOND
+        return request.arrived + request.route.latency_goal - prefill_seconds
 
     def choose_move_target(
         self, source: EndpointEntry, expected: int, engine: EngineTraits, exclude: set[str]
     ) -> EndpointEntry | None:
-        """The engine to move a run to; one in the source's data centre if it has room.
+        """The engine to move a run to, in the source's data centre if one has capacity.
 
-        A copy across data centres takes twice as long, and the time until the source is gone is
-        short.
+        A copy to another data centre takes longer, and the source is about to leave.
         """
         ready = self.ready(source.service, exclude | {source.id})
-        near = [
+        local = [
             entry
             for entry in ready
             if entry.data_centre == source.data_centre
-            and self.memory_share(entry, expected, engine) <= USABLE_MEMORY
+            and self.memory_share(entry, expected, engine) <= USABLE_MEMORY_SHARE
         ]
         return min(
-            near or ready,
+            local or ready,
             key=lambda entry: self._run_cost(entry, expected, engine),
             default=None,
         )
@@ -144,46 +144,50 @@
     def choose_backup_target(
         self, source: EndpointEntry, expected: int, engine: EngineTraits
     ) -> EndpointEntry | None:
-        """The engine to keep a backup of a run on ``source``; None if all need their memory.
+        """The engine for a backup of a run on ``source``; None if all need their memory.
 
-        A backup never makes the generations on its engine short of memory: that would preempt
-        them, which costs every one of them more than a crash costs one.
+        A backup must not cause the engine to preempt its generations.
         """
-        if self.registry.seconds_since_leaving(source.service) < BACKUP_QUIET_SECONDS:
+        if self.registry.seconds_since_leaving(source.service) < BACKUP_HOLDOFF_SECONDS:
             return None
-        spare = [
+        candidates = [
             entry
             for entry in self.ready(source.service, {source.id})
-            if self.memory_share(entry, expected, engine) <= BACKUP_MEMORY
-            and not self._failing(entry)
+            if self.memory_share(entry, expected, engine) <= BACKUP_MEMORY_SHARE
+            and not self._failure_penalty(entry)
         ]
         return min(
-            spare, key=lambda entry: self.memory_share(entry, expected, engine), default=None
+            candidates, key=lambda entry: self.memory_share(entry, expected, engine), default=None
         )
 
     def memory_share(self, entry: EndpointEntry, expected: int, engine: EngineTraits) -> float:
-        """Share of the engine's memory in use once ``expected`` more tokens are there."""
+        """Share of the engine's memory in use with ``expected`` additional tokens."""
         return (self.load.total(entry.id).peak_tokens + expected) / max(1, engine.memory_tokens)
 
     def _call_cost(self, entry: EndpointEntry) -> tuple[float, float]:
         load = self.load.total(entry.id)
-        away = 0.0 if entry.data_centre == self.data_centre else LOCAL_BIAS
-        return self._failing(entry) + away + load.runs / max(1, entry.slots), self.random.random()
+        remote_penalty = 0.0 if entry.data_centre == self.data_centre else LOCAL_BIAS
+        return (
+            self._failure_penalty(entry) + remote_penalty + load.runs / max(1, entry.slots),
+            self.random.random(),
+        )
 
     def _run_cost(self, entry: EndpointEntry, expected: int, engine: EngineTraits):
-        """Expected seconds of waiting, and a draw among equals."""
+        """Cost of another run in seconds, with a random tie-breaker."""
         load = self.load.total(entry.id)
         share = (load.peak_tokens + expected) / max(1, engine.memory_tokens)
         seconds = (
-            load.unread_tokens / READ_TOKENS_PER_SECOND
-            + FULL_SECONDS * max(0.0, share - USABLE_MEMORY) / (1 - USABLE_MEMORY)
+            load.unread_tokens / PREFILL_TOKENS_PER_SECOND
+            + MEMORY_PRESSURE_SECONDS
+            * max(0.0, share - USABLE_MEMORY_SHARE)
+            / (1 - USABLE_MEMORY_SHARE)
             + SLOT_SECONDS * load.runs
-            + SPREAD_SECONDS * share
-            + self._failing(entry)
+            + MEMORY_SPREAD_SECONDS * share
+            + self._failure_penalty(entry)
         )
         return seconds, self.random.random()
 
-    def _failing(self, entry: EndpointEntry) -> float:
+    def _failure_penalty(self, entry: EndpointEntry) -> float:
         health = self.load.health(entry.id)
-        recent = self.load.clock.seconds() - health.failed_at < FAILURE_MEMORY_SECONDS
+        recent = self.load.clock.seconds() - health.failed_at < FAILURE_WINDOW_SECONDS
         return FAILURE_WEIGHT * health.failures if recent else 0.0
--- a/src/guavacleat/placement/load.py
+++ b/src/guavacleat/placement/load.py
@@ -1,18 +1,18 @@
-"""What runs on each endpoint, of this gateway's requests and as its peers tell of theirs."""
+"""The load of each endpoint: this gateway's own requests and those reported by its peers."""
 
 from twisted.internet.interfaces import IReactorTime
 
 __all__ = ["EndpointHealth", "EndpointLoad", "LoadTracker", "Run", "sum_loads"]
 
-# Weight of the newest observation in the moving averages of failures and latency.
+# Weight of the newest observation in the exponential moving averages.
 SMOOTHING = 0.2
 
 
 class Run:
-    """A request on an endpoint, in tokens of engine memory (0 for plain requests).
+    """A request running on an endpoint, or memory reserved there for a copy or a move.
 
-    :param expected: what it is expected to hold at its end.
-    :param unread: its prompt while it has produced nothing; 0 from its first event on.
+    :param peak_tokens: engine memory that it is expected to hold at its end; 0 for plain requests.
+    :param unread_tokens: its prompt tokens awaiting prefill; 0 after its first event.
     """
 
     __slots__ = ("id", "peak_tokens", "unread_tokens")
@@ -24,7 +24,7 @@
 
 
 class EndpointLoad:
-    """Runs on one endpoint added up; the fields are sums of :class:`Run`'s."""
+    """Number of runs on one endpoint, and the sums of their :class:`Run` fields."""
 
     __slots__ = ("runs", "peak_tokens", "unread_tokens")
 
@@ -34,7 +34,7 @@
         self.unread_tokens = unread_tokens
 
     def add(self, other: "EndpointLoad") -> "EndpointLoad":
-        """Add ``other`` to this one and return it."""
+        """Add ``other`` to this load and return this load."""
         for slot in self.__slots__:
             setattr(self, slot, getattr(self, slot) + getattr(other, slot))
         return self
@@ -44,7 +44,7 @@
 
 
 class EndpointHealth:
-    """Moving averages of what one endpoint did: share of failures, seconds to its answers."""
+    """Moving averages of one endpoint's failure rate and of its latency in seconds."""
 
     __slots__ = ("failures", "latency", "failed_at")
 
@@ -55,9 +55,9 @@
 
 
 class LoadTracker:
-    """Runs by endpoint id and request id.
+    """Tracks this gateway's runs by endpoint id and run id.
 
-    ``listeners`` are called when a generation begins, produces its first event or ends.
+    ``listeners`` are called when a generation starts, produces its first event or ends.
     """
 
     def __init__(self, clock: IReactorTime):
@@ -65,7 +65,7 @@
         self.listeners: list = []
         self.runs_by_endpoint: dict[str, dict[str, Run]] = {}
         self.health_by_endpoint: dict[str, EndpointHealth] = {}
-        # Anything with ``total(endpoint_id)``: the peers' runs.
+        # Load reported by the peers: an object with ``total(endpoint_id)``.
         self.peers = None
 
     def begin(self, endpoint_id: str, run: Run) -> None:
@@ -73,7 +73,7 @@
         self.notify_changed(run)
 
     def end(self, endpoint_id: str, run: Run) -> None:
-        """Take the run off; nothing happens if another of its id took its place."""
+        """Remove the run; does nothing if another run with its id has replaced it."""
         runs = self.runs_by_endpoint.get(endpoint_id, {})
         if runs.get(run.id) is not run:
             return
@@ -83,13 +83,13 @@
         self.notify_changed(run)
 
     def notify_changed(self, run: Run) -> None:
-        """What listeners know of this run is out of date."""
+        """Notify the listeners that a generation has changed; plain requests are ignored."""
         if run.peak_tokens:
             for listener in self.listeners:
                 listener()
 
     def local(self, endpoint_id: str) -> EndpointLoad:
-        """This gateway's own runs on the endpoint."""
+        """The load of this gateway's own runs on the endpoint."""
         runs = self.runs_by_endpoint.get(endpoint_id, {}).values()
         return EndpointLoad(
             len(runs),
@@ -98,12 +98,12 @@
         )
 
     def total(self, endpoint_id: str) -> EndpointLoad:
-        """All known runs on the endpoint."""
+        """The load of all known runs on the endpoint, including the peers'."""
         load = self.local(endpoint_id)
         return load if self.peers is None else load.add(self.peers.total(endpoint_id))
 
     def generation_loads(self) -> dict[str, EndpointLoad]:
-        """This gateway's load by endpoint id, for endpoints that run its generations."""
+        """The local load by endpoint id, for endpoints that run generations of this gateway."""
         with_runs = (
             id
             for id, runs in self.runs_by_endpoint.items()
@@ -112,7 +112,7 @@
         return {id: self.local(id) for id in with_runs}
 
     def forget(self, endpoint_id: str) -> None:
-        """Drop what is remembered of an endpoint that is gone."""
+        """Discard the health of an endpoint that has left."""
         self.health_by_endpoint.pop(endpoint_id, None)
 
     def health(self, endpoint_id: str) -> EndpointHealth:
@@ -130,7 +130,7 @@
 
 
 def sum_loads(loads) -> EndpointLoad:
-    """Add up several loads."""
+    """The sum of several loads."""
     total = EndpointLoad()
     for load in loads:
         total.add(load)
--- a/tests/admission/test_dispatcher.py
+++ b/tests/admission/test_dispatcher.py
@@ -1,8 +1,8 @@
-"""The dispatcher: late binding, refusals at once and true, with cases in a table."""
+"""Tests of the dispatcher: order, expected waits, refusals and backfilling."""
 
 import pytest
 
-from guavacleat.admission.dispatcher import MARKS, Dispatcher
+from guavacleat.admission.dispatcher import RECENT_DISPATCHES, Dispatcher
 from guavacleat.config.model import Limits
 from guavacleat.errors import NotRunError
 from guavacleat.membership import MembershipView
@@ -21,7 +21,7 @@
     return Dispatcher(clock, view, get_router_by_name("least-loaded", clock))
 
 
-def test_waiting_request_is_dispatched_when_room_comes(dispatcher):
+def test_queued_request_is_dispatched_when_capacity_is_released(dispatcher):
     first, second = make_request(), make_request()
     assert result_of(dispatcher.acquire(first, LIMITS)).name == "e1"
     waiting = dispatcher.acquire(second, LIMITS)
@@ -30,12 +30,8 @@
     assert result_of(waiting).name == "e1" and dispatcher.depth() == {"svc": 0}
 
 
-def test_wait_ends_in_a_refusal_when_its_time_is_up(dispatcher, clock):
-    """
-    Symptom: a caller on hold waits for an engine that never has room.
-    Sequence: the only endpoint stays full for longer than limits.max_wait.
-    Cause: without a bound the request would wait until its caller hangs up.
-    """
+def test_queued_request_is_refused_after_max_wait(dispatcher, clock):
+    """A request must not wait for a full endpoint for longer than limits.max_wait."""
     dispatcher.acquire(make_request(), LIMITS)
     waiting = dispatcher.acquire(make_request(), LIMITS)
     clock.advance(LIMITS.max_wait - 0.1)
@@ -46,14 +42,9 @@
     assert caught.value.retry_after == LIMITS.retry_after
 
 
-def test_wait_that_would_be_too_long_is_refused_at_once(dispatcher, clock):
-    """
-    Symptom: a request is held for its whole patience and then refused.
-    Sequence: requests are dispatched one in 9 s; the account already has one waiting.
-    Cause: the refusal was certain when it came; the caller must hear it then, and when to
-    come back.
-    """
-    for _ in range(MARKS + 10):
+def test_request_with_too_long_expected_wait_is_refused_immediately(dispatcher, clock):
+    """A request must not be queued if the dispatch rate shows that it will be refused later."""
+    for _ in range(RECENT_DISPATCHES + 10):
         running = make_request()
         result_of(dispatcher.acquire(running, LIMITS))
         clock.advance(9)
@@ -67,12 +58,8 @@
     assert caught.value.retry_after > LIMITS.retry_after
 
 
-def test_one_account_filling_its_queue_leaves_the_others_theirs(dispatcher):
-    """
-    Symptom: one client account's surge makes the gateway refuse every account.
-    Sequence: a has queue_per_account requests waiting and sends another; b sends its first.
-    Cause: one bound over all accounts would be used up by the busiest.
-    """
+def test_full_queue_of_one_account_does_not_affect_others(dispatcher):
+    """A burst of one client account must not make the gateway refuse other accounts."""
     dispatcher.acquire(make_request(), LIMITS)
     for _ in range(LIMITS.queue_per_account):
         dispatcher.acquire(make_request(account="a"), LIMITS)
@@ -81,12 +68,8 @@
     assert not dispatcher.acquire(make_request(account="b"), LIMITS).called
 
 
-def test_last_endpoint_leaving_refuses_those_waiting(dispatcher, clock):
-    """
-    Symptom: requests wait for an endpoint that has left until their patience ends.
-    Sequence: a request waits for the only endpoint; it starts draining.
-    Cause: only room was waited for; nobody looked whether anybody was left.
-    """
+def test_queued_requests_are_refused_when_the_last_endpoint_drains(dispatcher, clock):
+    """Requests must not wait until their timeout when no endpoint is left."""
     dispatcher.acquire(make_request(), LIMITS)
     waiting = dispatcher.acquire(make_request(), LIMITS)
     dispatcher.membership.observe(endpoint_record("e1", draining=True))
@@ -96,11 +79,7 @@
 
 
 def test_abandoned_request_is_not_dispatched(dispatcher):
-    """
-    Symptom: engines work for callers who have hung up while they waited.
-    Sequence: a request waits; its caller leaves; room comes.
-    Cause: the queue did not know that the caller had gone.
-    """
+    """A request whose caller disconnected while it was queued must not reach an engine."""
     running, left = make_request(), make_request()
     dispatcher.acquire(running, LIMITS)
     waiting = dispatcher.acquire(left, LIMITS)
@@ -111,12 +90,8 @@
     assert dispatcher.router.in_flight_by_name["e1"] == 0
 
 
-def test_resumed_stream_goes_before_those_waiting(dispatcher):
-    """
-    Symptom: an answer half read out stops for as long as new requests have to wait.
-    Sequence: one request waits; a stream whose endpoint failed needs another.
-    Cause: the stream queued behind requests whose callers have heard nothing yet.
-    """
+def test_resumed_stream_is_dispatched_before_queued_requests(dispatcher):
+    """A stream whose endpoint failed must not queue behind requests without any output yet."""
     running, new, broken = make_request(), make_request(), make_request()
     dispatcher.acquire(running, LIMITS)
     waiting = dispatcher.acquire(new, LIMITS)
@@ -125,12 +100,8 @@
     assert resuming.called and not waiting.called
 
 
-def test_short_request_fills_a_gap_the_head_cannot_use(clock):
-    """
-    Symptom: intent tags wait seconds behind a long prompt although engines have room for them.
-    Sequence: the engine has 500 tokens left; the head needs 1,000; a tag needs 60.
-    Cause: only the head of the queue was ever offered the room.
-    """
+def test_short_request_is_backfilled_when_the_head_does_not_fit(clock):
+    """A short request must not wait behind a long prompt if only the short one fits."""
     view = MembershipView(clock)
     view.observe(endpoint_record("e1"))
     dispatcher = Dispatcher(clock, view, get_router_by_name("cache-load", clock))
@@ -141,20 +112,15 @@
     assert filling.called and not head.called
 
 
-def test_long_wait_ahead_refuses_only_the_account_it_is_ahead_of(clock):
-    """
-    Symptom: intent tags are refused in a surge although each would wait less than a second.
-    Sequence: account a has dozens of summaries waiting; it, then b, sends an urgent request.
-    Cause: an expected wait that looked at the queue's length, or at one account's backlog for
-    all, would refuse both.
-    """
+def test_expected_wait_depends_on_the_account(clock):
+    """The backlog of one account must not cause the refusal of an urgent request of another."""
     view = MembershipView(clock)
     view.observe(endpoint_record("e1"))
     dispatcher = Dispatcher(clock, view, get_router_by_name("least-loaded", clock))
     limits = Limits(queue_per_account=99, in_flight_per_endpoint=1, retry_after=1.5, max_wait=5.0)
     running = make_request(max_tokens=1000, prompt="w " * 100)
     dispatcher.acquire(running, limits)
-    for _ in range(MARKS + 10):
+    for _ in range(RECENT_DISPATCHES + 10):
         clock.advance(0.2)
         view.observe(endpoint_record("e1"))
         waiting = make_request(max_tokens=1000, prompt="w " * 100)
@@ -170,12 +136,10 @@
     assert not dispatcher.acquire(urgent, limits).called
 
 
-def test_dispatch_that_pumps_again_gives_no_request_out_twice(clock):
+def test_nested_dispatch_does_not_dispatch_an_entry_twice(clock):
     """
-    Symptom: a caller never gets any answer, and its endpoint stays counted busy.
-    Sequence: a head has no room; two tags wait; room for tags comes; the first one's dispatch
-    ends at once and looks at the queue again while the outer look is still under way.
-    Cause: the outer look went on with entries the inner one had given out (found by a fault run).
+    A backfilled request that finishes synchronously dispatches again. The outer loop must not then
+    dispatch the entries that the nested one has dispatched.
     """
     view = MembershipView(clock)
     view.observe(endpoint_record("e1"))
@@ -184,26 +148,22 @@
     dispatcher.acquire(make_request(account="a", prompt="w " * 1000), LIMITS_OPEN)
     tags = [make_request(account=name, prompt="w " * 9, max_tokens=5) for name in ("b", "c")]
     waiting = [dispatcher.acquire(tag, LIMITS_OPEN) for tag in tags]
-    for given in waiting:
-        given.addCallback(lambda _: dispatcher.dispatch_waiting("svc"))
+    for deferred in waiting:
+        deferred.addCallback(lambda _: dispatcher.dispatch_waiting("svc"))
     dispatcher.router.observe("e1", Occupancy(2, 8, 0, 9_500, 10_000))
     dispatcher.dispatch_waiting("svc")
-    assert all(given.called for given in waiting)
+    assert all(deferred.called for deferred in waiting)
     assert dispatcher.router.in_flight_by_name["e1"] == 2
 
 
-def test_a_dispatch_may_ask_for_a_service_that_had_no_queue(dispatcher):
-    """
-    Symptom: a round of looking at all queues ends with an error; later queues wait for the next.
-    Sequence: a request is dispatched in the round; whoever gets it asks for another service.
-    Cause: that adds a queue to those being looked at.
-    """
+def test_dispatch_may_add_the_queue_of_another_service(dispatcher):
+    """A queue added during dispatch_all must not break its iteration."""
     first, waiting = make_request(), make_request()
     result_of(dispatcher.acquire(first, LIMITS))
-    given = dispatcher.acquire(waiting, LIMITS)
+    deferred = dispatcher.acquire(waiting, LIMITS)
     other = make_request()
     other.service = "other"
-    given.addCallback(lambda _: dispatcher.acquire(other, LIMITS).addErrback(lambda _: None))
+    deferred.addCallback(lambda _: dispatcher.acquire(other, LIMITS).addErrback(lambda _: None))
     dispatcher.router.end("e1", first)
     dispatcher.dispatch_all()
-    assert given.called and set(dispatcher.depth()) == {"svc", "other"}
+    assert deferred.called and set(dispatcher.depth()) == {"svc", "other"}
--- a/tests/admission/test_queues.py
+++ b/tests/admission/test_queues.py
@@ -1,4 +1,4 @@
-"""Which waiting request goes next: shares by weight over tokens, urgent classes, no starvation."""
+"""Tests of the fair queue: weighted token shares, priorities, no starvation."""
 
 import itertools
 from collections import Counter
@@ -17,7 +17,7 @@
 
 
 def serve(queue, rounds, cost_of):
-    """Dispatch ``rounds`` requests, charge each its cost; tokens served by account."""
+    """Dispatch and charge ``rounds`` requests; return the tokens served by account."""
     served = Counter()
     for _ in range(rounds):
         entry = queue.head()
@@ -35,12 +35,7 @@
 
 
 def test_tokens_are_shared_by_weight_not_by_requests():
-    """
-    Symptom: an account sending long summaries gets ten times the engine of one sending tags.
-    Sequence: both always have requests waiting; a's outputs are ten times as long; a's weight
-    is 2 and b's is 1.
-    Cause: taking turns by request shares requests; engines are used up by tokens.
-    """
+    """An account with long outputs must not get more than its weighted share of the tokens."""
     queue = get_queue_by_name("fair")
     backlog(queue, "a", 2, 400)
     backlog(queue, "b", 1, 4000)
@@ -48,12 +43,8 @@
     assert 1.9 <= served["a"] / served["b"] <= 2.1
 
 
-def test_account_back_from_idleness_is_not_owed_the_time():
-    """
-    Symptom: all others stall when an account that was quiet for an hour sends a few requests.
-    Sequence: a is served alone for long; then b, which asked for nothing, sends as many as a.
-    Cause: b's virtual time had stood still while a's ran on.
-    """
+def test_idle_account_does_not_accumulate_credit():
+    """An account that was idle must not stall the others when it becomes active again."""
     queue = get_queue_by_name("fair")
     backlog(queue, "a", 1, 1000)
     serve(queue, 500, lambda _: 100)
@@ -62,12 +53,8 @@
     assert served["a"] >= 0.45 * sum(served.values())
 
 
-def test_urgent_class_goes_first_but_cannot_starve_another_account():
-    """
-    Symptom: batch work of a small account never runs while others send interactive requests.
-    Sequence: a always has interactive requests waiting, b only batch ones.
-    Cause: strict priority across accounts has no bound.
-    """
+def test_urgent_requests_do_not_starve_another_account():
+    """With strict priority across accounts, batch requests would never run."""
     queue = get_queue_by_name("fair")
     backlog(queue, "b", 1, 500, priority=10)
     backlog(queue, "a", 1, 500, priority=0)
@@ -76,7 +63,7 @@
     assert served["b"] >= 0.4 * sum(served.values())
 
 
-def test_within_an_account_urgent_requests_go_first():
+def test_urgent_requests_of_an_account_are_served_first():
     queue = get_queue_by_name("fair")
     backlog(queue, "a", 1, 3, priority=10)
     backlog(queue, "a", 1, 1, priority=0)
@@ -87,7 +74,7 @@
 
 
 @given(weights=ACCOUNTS, seed=st.integers(0, 99))
-def test_backlogged_accounts_get_their_shares_whatever_the_lengths(weights, seed):
+def test_backlogged_accounts_get_their_shares_for_any_lengths(weights, seed):
     """Each account is within two of the largest requests of its weighted share."""
     queue = get_queue_by_name("fair")
     for number, weight in enumerate(weights):
@@ -99,6 +86,6 @@
         assert abs(served[f"a{number}"] - unit * weight) <= 2 * 1000 * max(weights)
 
 
-def test_fair_shares_pass_on_what_an_account_does_not_ask_for():
+def test_fair_shares_redistribute_unused_shares():
     shares = fair_shares({"a": 100, "b": 1000, "c": 1000}, {"a": 2, "b": 1, "c": 1}, 1100)
     assert shares == {"a": 100, "b": 500, "c": 500}
--- a/tests/placement/test_choice.py
+++ b/tests/placement/test_choice.py
@@ -1,4 +1,4 @@
-"""Where requests go: room, prompts still to read, failures, peers' runs, backups' memory."""
+"""Tests of endpoint selection: load, failures, peers' reports, backups and moves."""
 
 import pytest
 
@@ -7,9 +7,9 @@
 from guavacleat.peers.report import GatewayReport
 from guavacleat.placement import EndpointLoad, Run
 from guavacleat.placement.choice import (
-    BACKUP_MEMORY,
-    BACKUP_QUIET_SECONDS,
-    FAILURE_MEMORY_SECONDS,
+    BACKUP_HOLDOFF_SECONDS,
+    BACKUP_MEMORY_SHARE,
+    FAILURE_WINDOW_SECONDS,
 )
 from guavacleat.routes import RequestKind
 from tests.forwarding.harness import ENGINE, ForwardingHarness
@@ -32,70 +32,57 @@
     assert [harness.load.local(id).runs for id in ("e1", "e2")] == [2, 2]
 
 
-def test_a_new_prompt_goes_where_fewer_wait_to_be_read(harness):
-    """
-    Symptom: first tokens come two seconds late while another engine reads nothing.
-    Sequence: two prompts wait on one engine; the other runs as much, all of it read.
-    Cause: an engine reads prompts one after the other, between the tokens of the others.
-    """
+def test_request_goes_to_the_engine_with_less_pending_prefill(harness):
+    """First tokens must not wait for prefills while another engine has none pending."""
     for number in range(3):
         harness.load.begin("e1", Run(f"a{number}", peak_tokens=3000, unread_tokens=2900))
         harness.load.begin("e2", Run(f"b{number}", peak_tokens=3000, unread_tokens=0))
     assert place(harness) == "e2"
 
 
-def test_an_engine_without_memory_is_the_last_choice(harness):
+def test_engine_without_memory_is_avoided(harness):
     harness.load.begin("e1", Run("a", peak_tokens=ENGINE.memory_tokens))
     for number in range(6):
         harness.load.begin("e2", Run(f"b{number}", peak_tokens=2000, unread_tokens=300))
     assert place(harness) == "e2"
 
 
-def test_peers_runs_count(harness, clock):
-    """
-    Symptom: every gateway sends to the same engine.
-    Sequence: a peer runs much on one engine; this gateway runs nothing.
-    Cause: an engine's load is that of all gateways.
-    """
+def test_runs_reported_by_peers_count(harness, clock):
+    """Gateways that counted only their own runs would all choose the same engine."""
     harness.load.peers = PeerTable(clock)
     harness.load.peers.observe(GatewayReport("g2", 1, 1, {"e1": EndpointLoad(5, 15000, 6000)}))
     assert place(harness) == "e2"
 
 
-def test_a_failing_endpoint_is_avoided_and_then_tried_again(harness, clock):
+def test_failing_endpoint_is_avoided_for_the_failure_window(harness, clock):
     for _ in range(3):
         harness.load.record_failure("e1")
     calls = [harness.context.placement.choose_for_call("svc", set()).id for _ in range(20)]
     assert set(calls) == {"e2"}
-    clock.advance(FAILURE_MEMORY_SECONDS)
+    clock.advance(FAILURE_WINDOW_SECONDS)
     calls = [harness.context.placement.choose_for_call("svc", set()).id for _ in range(20)]
     assert set(calls) == {"e1", "e2"}
 
 
-def test_backups_go_only_where_memory_is_free(harness):
+def test_backups_need_free_memory(harness):
     source = harness.registry.entries_by_id["e1"]
-    room = int(ENGINE.memory_tokens * BACKUP_MEMORY)
+    room = int(ENGINE.memory_tokens * BACKUP_MEMORY_SHARE)
     harness.load.begin("e2", Run("b", peak_tokens=room - 1000))
     assert harness.context.placement.choose_backup_target(source, 1000, ENGINE).id == "e2"
     assert harness.context.placement.choose_backup_target(source, 1001, ENGINE) is None
 
 
-def test_no_backups_while_engines_are_taken_away(harness, clock):
-    """
-    Symptom: half of the streams on an engine that leaves are cut, though its link could carry them.
-    Sequence: engines leave one after the other; streams that begin meanwhile get backups.
-    Cause: a backup begins by copying the whole prompt, over the links that the copies off the
-    leaving engine need.
-    """
+def test_no_backups_shortly_after_an_engine_left(harness, clock):
+    """The initial copies of backups must not delay the moves off a leaving engine."""
     source = harness.registry.entries_by_id["e1"]
     harness.set_endpoint("e3")
     harness.set_endpoint("e3", state=EndpointState.DRAINING)
     assert harness.context.placement.choose_backup_target(source, 1000, ENGINE) is None
-    clock.advance(BACKUP_QUIET_SECONDS)
+    clock.advance(BACKUP_HOLDOFF_SECONDS)
     assert harness.context.placement.choose_backup_target(source, 1000, ENGINE).id == "e2"
 
 
-def test_a_move_stays_in_its_data_centre_if_there_is_room(harness):
+def test_move_prefers_the_data_centre_of_the_source(harness):
     source = harness.registry.entries_by_id["e1"]
     harness.set_endpoint("far", data_centre="other")
     harness.load.begin("e2", Run("b", peak_tokens=ENGINE.memory_tokens // 2))
