--- a/src/guavacleat/retries/__init__.py
+++ b/src/guavacleat/retries/__init__.py
@@ -1,4 +1,4 @@
-"""Repeats of requests, kept within a budget that all gateways share without talking."""
+"""Retry budget, shared by all gateways without communication."""
 
 from guavacleat.retries.budget import RetryBudget
 
--- a/src/guavacleat/retries/budget.py
+++ b/src/guavacleat/retries/budget.py
@@ -1,22 +1,21 @@
-"""How many repeats this gateway may send to a service.
+"""Limits the retries that this gateway sends to a service.
 
-Over any window, all gateways together may repeat ``ratio`` of the requests, and ``extra`` times
-besides. Each gateway takes the ratio of its own requests and an even part of the extra: whatever
-the others do, the sum then stays within the bound. Without a bound, endpoints that fail under
-load would get more load from the repeats, and fail more.
+In any window, all gateways together may retry ``retry_ratio`` of the requests plus ``retry_extra``.
+Each gateway may use the ratio of its own requests and an equal share of the extra, so the sum stays
+within the limit without coordination. Unlimited retries would amplify an overload.
 """
 
 import collections
 
 __all__ = ["RetryBudget"]
 
-# Part of the budget that is used at most: requests are counted here when they arrive and at the
-# endpoint a little later, so the two windows never match exactly.
-USED_SHARE = 0.8
+# Share of the budget that is used: requests are counted when they arrive here, slightly before the
+# endpoint counts them, so the two windows differ.
+SAFETY_FACTOR = 0.8
 
 
 class _Window:
-    """Times of events in the last ``seconds``."""
+    """Counts events in the last ``seconds``."""
 
     __slots__ = ("seconds", "times")
 
@@ -34,30 +33,33 @@
 
 
 class RetryBudget:
-    """Counts requests and repeats by service; ``gateways()`` returns how many share the extra."""
+    """Counts requests and retries by service.
+
+    :param gateways: returns the number of gateways that share the budget.
+    """
 
     def __init__(self, clock, bounds, gateways):
         self.clock = clock
         self.bounds = bounds
         self.gateways = gateways
         self.requests_by_service: dict[str, _Window] = {}
-        self.repeats_by_service: dict[str, _Window] = {}
+        self.retries_by_service: dict[str, _Window] = {}
 
     def record_request(self, service: str) -> None:
-        """A caller's request for the service arrived."""
+        """Count a caller's request."""
         self._window(self.requests_by_service, service).add(self.clock.seconds())
 
     def record_retry(self, service: str) -> None:
-        """A request is sent once more, whatever the budget says."""
-        self._window(self.repeats_by_service, service).add(self.clock.seconds())
+        """Count a retry, whether or not it is within the budget."""
+        self._window(self.retries_by_service, service).add(self.clock.seconds())
 
     def may_retry(self, service: str) -> bool:
-        """Whether one more repeat fits the budget."""
+        """Whether the budget permits another retry."""
         now = self.clock.seconds()
         requests = self._window(self.requests_by_service, service).count(now)
-        repeats = self._window(self.repeats_by_service, service).count(now)
+        retries = self._window(self.retries_by_service, service).count(now)
         extra = self.bounds.retry_extra / max(1, self.gateways())
-        return repeats + 1 <= USED_SHARE * (self.bounds.retry_ratio * requests + extra)
+        return retries + 1 <= SAFETY_FACTOR * (self.bounds.retry_ratio * requests + extra)
 
     def _window(self, windows: dict[str, _Window], service: str) -> _Window:
         if service not in windows:
--- a/src/guavacleat/routing/__init__.py
+++ b/src/guavacleat/routing/__init__.py
@@ -1,4 +1,4 @@
-"""Choosing an endpoint for a request."""
+"""Routing: the choice of an endpoint for a request."""
 
 from guavacleat.routing.router import ROUTERS_BY_NAME, Router, get_router_by_name
 
--- a/src/guavacleat/routing/poll.py
+++ b/src/guavacleat/routing/poll.py
@@ -1,4 +1,4 @@
-"""Polls endpoints for their digests, so that routing also knows those it has no streams on."""
+"""Polls endpoints for their digests, including those without streams of this gateway."""
 
 import contextlib
 import itertools
@@ -8,19 +8,18 @@
 
 from guavacleat.periodic import Periodic
 
-__all__ = ["DigestPoller", "POLL_SECONDS", "POLLS_AT_ONCE"]
+__all__ = ["DigestPoller", "POLL_SECONDS", "ENDPOINTS_PER_ROUND"]
 
 POLL_SECONDS = 0.5
-# Endpoints asked in one round; with more of them each is asked less often, so that a gateway's
-# control traffic does not grow with the fleet.
-POLLS_AT_ONCE = 8
-DIGEST_TIMEOUT = 2.0
+# Endpoints polled per interval, so that control traffic does not grow with the number of endpoints.
+ENDPOINTS_PER_ROUND = 8
+DIGEST_TIMEOUT = 2.0  # seconds
 
 
 class DigestPoller:
-    """Asks a few endpoints in turn every ``POLL_SECONDS``, then lets waiting requests try again.
+    """Polls the next few endpoints every ``POLL_SECONDS``, then dispatches queued requests.
 
-    :param membership: a ``MembershipView``; its live endpoints are asked.
+    :param membership: a ``MembershipView``; its live endpoints are polled.
     :param dispatcher: a ``Dispatcher``.
     :param pool: a ``SidecarPool``.
     """
@@ -36,22 +35,22 @@
         self.rounds = Periodic(clock, POLL_SECONDS, self.poll)
 
     def poll(self) -> None:
-        """Ask the endpoints whose turn it is."""
+        """Poll the next endpoints, round-robin."""
         records = self.membership.all_live()
-        count = min(POLLS_AT_ONCE, len(records))
+        count = min(ENDPOINTS_PER_ROUND, len(records))
         turn = itertools.islice(itertools.cycle(records), self.next_index, self.next_index + count)
         for record in list(turn):
-            self._ask(record)
+            self._poll_endpoint(record)
         self.next_index = (self.next_index + count) % max(1, len(records))
         self.dispatcher.dispatch_all()
 
     @defer.inlineCallbacks
-    def _ask(self, record):
-        # A failed poll tells nothing the data path does not find out: the last digest stands.
+    def _poll_endpoint(self, record):
+        # A failed poll is ignored: requests to the endpoint report its failures.
         with contextlib.suppress(Exception):
             client = yield self.pool.client(record.address)
-            asking = client.digest(self.last_event_by_name.get(record.name, 0))
-            digest = yield asking.addTimeout(DIGEST_TIMEOUT, self.clock)
+            request = client.digest(self.last_event_by_name.get(record.name, 0))
+            digest = yield request.addTimeout(DIGEST_TIMEOUT, self.clock)
             self.router.observe(record.name, digest.occupancy)
             self.router.observe_cache(record.name, digest.events)
             if digest.events:
--- a/src/guavacleat/routing/prefix.py
+++ b/src/guavacleat/routing/prefix.py
@@ -1,4 +1,4 @@
-"""Blocks of a prompt's prefix, as the engines' prefix caches name them."""
+"""Hashes of the blocks of a prompt, as used by the engines' prefix caches."""
 
 import hashlib
 import itertools
@@ -9,13 +9,13 @@
 DIGEST_BYTES = 8
 
 
-def prefix_blocks(tokens: list[str], most: int | None = None) -> list[str]:
-    """Names of the whole blocks of ``tokens``, in order, at most ``most`` of them.
+def prefix_blocks(tokens: list[str], limit: int | None = None) -> list[str]:
+    """Hashes of the first ``limit`` complete blocks of ``tokens``, in order.
 
-    Each name depends on every token before the block's end, so two prompts share exactly the
-    names of their common prefix.
+    Each hash covers all tokens up to the end of its block, so two prompts have equal hashes exactly
+    for the blocks of their common prefix.
     """
-    blocks = itertools.islice(range(0, len(tokens) - BLOCK_TOKENS + 1, BLOCK_TOKENS), most)
+    blocks = itertools.islice(range(0, len(tokens) - BLOCK_TOKENS + 1, BLOCK_TOKENS), limit)
     chained = itertools.accumulate(
         (" ".join(tokens[start : start + BLOCK_TOKENS]) for start in blocks), _chain, initial=""
     )
--- a/src/guavacleat/routing/router.py
+++ b/src/guavacleat/routing/router.py
@@ -1,8 +1,7 @@
-"""Routers: which endpoint takes a request, or none for now.
+"""Routers, which choose an endpoint for a request.
 
-Every router counts the streams this gateway has in flight per endpoint. :class:`CacheLoadRouter`
-is the product's; the others are the baselines it is measured against. Look them up with
-:func:`get_router_by_name`.
+Every router counts this gateway's in-flight streams per endpoint. :class:`CacheLoadRouter` is the
+default; the others are baselines for comparison. Look them up with :func:`get_router_by_name`.
 """
 
 import hashlib
@@ -26,15 +25,16 @@
 ]
 
 
-# Prompt tokens' worth of waiting that a request puts up with to go to its prefix's home.
-HOME_TOKENS = 1000
-HOME_BLOCK = 16
+# Additional prompt tokens awaiting prefill that are accepted on a prefix's home endpoint.
+HOME_BONUS_TOKENS = 1000
+# Leading blocks of a prompt that determine its home endpoint.
+HOME_KEY_BLOCKS = 16
 
 
 def _prefix_key(request) -> str:
-    """What decides a prompt's home: its first ``HOME_BLOCK`` blocks, or all of a short one."""
+    """Hash of the prompt's first ``HOME_KEY_BLOCKS`` blocks, or a shorter prompt itself."""
     blocks = request.blocks()
-    return blocks[min(HOME_BLOCK, len(blocks)) - 1] if blocks else request.prompt
+    return blocks[min(HOME_KEY_BLOCKS, len(blocks)) - 1] if blocks else request.prompt
 
 
 def _rendezvous(key: str, endpoint: str) -> int:
@@ -43,7 +43,7 @@
 
 
 class Router:
-    """Counts streams in flight by endpoint, skips full and refusing endpoints, picks by rank."""
+    """Chooses the endpoint with the lowest rank that is neither full nor backing off."""
 
     def __init__(self, clock: IReactorTime):
         self.clock = clock
@@ -52,12 +52,12 @@
         self.avoid_until_by_name: dict[str, float] = {}
 
     def choose(self, candidates: list[EndpointRecord], request, limit: int, excluded=()):
-        """The endpoint to try, or None if every candidate is excluded, refusing or full.
+        """The endpoint to try; None if every candidate is excluded, backing off or full.
 
-        ``limit``: streams this gateway keeps on one endpoint at most.
+        :param limit: maximum in-flight streams of this gateway per endpoint.
         """
         now = self.clock.seconds()
-        open_ones = [
+        available = [
             record
             for record in candidates
             if record.name not in excluded
@@ -65,36 +65,36 @@
             and self.avoid_until_by_name.get(record.name, now) <= now
             and self.has_room(record.name, request)
         ]
-        return min(open_ones, key=lambda record: self.rank(record.name, request), default=None)
+        return min(available, key=lambda record: self.rank(record.name, request), default=None)
 
     def begin(self, name: str, request=None) -> None:
-        """Count a stream in; ``request`` is given when it is about to be started there."""
+        """Count an in-flight stream; ``request`` is given if it is about to be started."""
         self.in_flight_by_name[name] = self.in_flight_by_name.get(name, 0) + 1
 
     def end(self, name: str, request=None) -> None:
         self.in_flight_by_name[name] -= 1
 
     def avoid(self, name: str, seconds: float) -> None:
-        """Send nothing to ``name`` for a while: it refused a request."""
+        """Send nothing to ``name`` for ``seconds``, after it has refused a request."""
         self.avoid_until_by_name[name] = self.clock.seconds() + seconds
 
     def observe(self, name: str, occupancy, request=None) -> None:
-        """Hear how full an endpoint is; ``request`` is given if it has now been started there."""
+        """Receive an endpoint's occupancy; ``request`` is given if it has been started there."""
 
     def observe_cache(self, name: str, events) -> None:
-        """Hear cache events of an endpoint."""
+        """Receive cache events of an endpoint."""
 
     def has_room(self, name: str, request) -> bool:
-        """Whether ``request`` fits ``name``; the baselines leave that to the engine."""
+        """Whether the engine has memory and a slot for ``request``; the baselines don't check."""
         return True
 
     def rank(self, name: str, request):
-        """Endpoints with a lower rank are preferred."""
+        """The sort key of an endpoint; the lowest is chosen."""
         raise NotImplementedError
 
 
 class RoundRobinRouter(Router):
-    """Baseline: endpoints in turn."""
+    """Baseline: round-robin."""
 
     def __init__(self, clock: IReactorTime):
         super().__init__(clock)
@@ -110,7 +110,7 @@
 
 
 class LeastLoadedRouter(Router):
-    """Baseline: fewest streams in flight from this gateway; ties by a hash of the prefix."""
+    """Baseline: the fewest in-flight streams of this gateway, then a hash of the prefix."""
 
     def rank(self, name, request):
         key = request.blocks()[0] if request.blocks() else request.prompt
@@ -118,15 +118,13 @@
 
 
 class CacheLoadRouter(Router):
-    """The endpoint with the least to read before the first token, of those with memory to spare.
-
-    What is to be read: the prompts there that have no token yet, and the request's own prompt
-    but for the blocks its engine has cached. Each prefix has a home, the endpoint that every
-    gateway's hash of it names, so that gateways which hear little of each other's prompts still
-    send those that share a prefix to the same engine. Memory is the sidecar's last report plus
-    what this gateway has sent since, so several gateways see each other's streams without talking
-    to each other. The report lags by one reply; the sidecar's own check is what holds (see
-    :mod:`guavacleat.sidecar.occupancy`).
+    """Chooses the endpoint with the least prefill before the first token, among those with memory.
+
+    The prefill is that of the prompts without a first token, plus the request's own prompt except
+    its cached blocks. Each prefix has a home endpoint, chosen by rendezvous hashing, so that all
+    gateways send prompts with a common prefix to the same engine. Memory use is the sidecar's last
+    report, which includes other gateways' streams, plus the requests sent since. As the report may
+    be out of date, the sidecar checks again (see :mod:`guavacleat.sidecar.occupancy`).
     """
 
     def __init__(self, clock: IReactorTime):
@@ -146,20 +144,20 @@
         super().begin(name, request)
         if request is not None:
             self.starting_by_name.setdefault(name, {})[request.request_id] = request.prompt_tokens
-            self.cache.sent(name, request.blocks())
+            self.cache.record_sent(name, request.blocks())
 
     def end(self, name, request=None):
         super().end(name, request)
-        self._started(name, request)
+        self._remove_starting(name, request)
 
     def observe(self, name, occupancy, request=None):
         self.occupancy_by_name[name] = occupancy
-        self._started(name, request)
+        self._remove_starting(name, request)
 
     def observe_cache(self, name, events):
         self.cache.observe(name, events)
 
-    def _started(self, name: str, request) -> None:
+    def _remove_starting(self, name: str, request) -> None:
         if request is not None:
             self.starting_by_name.get(name, {}).pop(request.request_id, None)
 
@@ -173,7 +171,7 @@
             return True
         if streams >= occupancy.slots:
             return False
-        # By the time memory peaks, the request has grown by its output or up to that time.
+        # Until memory use peaks, the request grows by at most its expected output.
         output = self.lengths.remaining(request.kind(), 0, request.max_tokens)
         growth = min(output, occupancy.peak_in or 0)
         expected = occupancy.peak + sum(starting.values()) + request.prompt_tokens + growth
@@ -185,7 +183,7 @@
         cached = self.cache.cached_blocks(name, request.blocks()) * BLOCK_TOKENS
         to_read = starting + request.prompt_tokens - cached
         if name == self.home:
-            to_read -= HOME_TOKENS
+            to_read -= HOME_BONUS_TOKENS
         memory = 0.0
         occupancy = self.occupancy_by_name.get(name)
         if occupancy is not None and occupancy.capacity:
@@ -202,5 +200,5 @@
 
 
 def get_router_by_name(name: str, clock: IReactorTime) -> Router:
-    """A new router; raises KeyError if there is none of that name."""
+    """Create a router; raises KeyError for an unknown name."""
     return ROUTERS_BY_NAME[name](clock)
--- a/tests/retries/test_budget.py
+++ b/tests/retries/test_budget.py
@@ -1,4 +1,4 @@
-"""The retry budget: the sum over all gateways stays within the bound in any window."""
+"""Tests of the retry budget."""
 
 import pytest
 from hypothesis import given
@@ -16,15 +16,11 @@
 
 
 @given(STEPS)
-def test_all_gateways_together_keep_the_bound(steps):
-    """
-    Symptom: endpoints that fail under load get still more load.
-    Sequence: three gateways repeat whatever their own budget allows, in any order.
-    Cause: each may use the ratio of its own requests and a third of the extra.
-    """
+def test_retries_of_all_gateways_stay_within_the_limit(steps):
+    """In any window, the gateways' budgets together must not exceed the configured limit."""
     clock = Clock()
     budgets = [RetryBudget(clock, BOUNDS, lambda: 3) for _ in range(3)]
-    requests, repeats = [], []
+    requests, retries = [], []
     for gateway, step, seconds in steps:
         clock.advance(seconds)
         now = clock.seconds()
@@ -33,10 +29,13 @@
             requests.append(now)
         elif budgets[gateway].may_retry("svc"):
             budgets[gateway].record_retry("svc")
-            repeats.append(now)
-            lately = [at for at in repeats if at >= now - BOUNDS.retry_window]
-            asked = [at for at in requests if at >= now - BOUNDS.retry_window]
-            assert len(lately) <= BOUNDS.retry_ratio * len(asked) + BOUNDS.retry_extra
+            retries.append(now)
+            recent_retries = [at for at in retries if at >= now - BOUNDS.retry_window]
+            recent_requests = [at for at in requests if at >= now - BOUNDS.retry_window]
+            assert (
+                len(recent_retries)
+                <= BOUNDS.retry_ratio * len(recent_requests) + BOUNDS.retry_extra
+            )
 
 
 @pytest.fixture
@@ -44,14 +43,14 @@
     return RetryBudget(clock, BOUNDS, lambda: 1)
 
 
-def test_repeats_are_free_again_after_the_window(budget, clock):
+def test_budget_is_available_again_after_the_window(budget, clock):
     while budget.may_retry("svc"):
         budget.record_retry("svc")
     clock.advance(BOUNDS.retry_window + 0.1)
     assert budget.may_retry("svc")
 
 
-def test_services_do_not_use_each_others_budget(budget):
+def test_services_have_separate_budgets(budget):
     while budget.may_retry("svc"):
         budget.record_retry("svc")
     assert budget.may_retry("other")
--- a/tests/routing/test_router.py
+++ b/tests/routing/test_router.py
@@ -1,4 +1,4 @@
-"""Routing: what is to be read, what is cached, what is full; and the cache map's faults."""
+"""Tests of the routers, the cache map and the prefix hashes."""
 
 import pytest
 
@@ -24,7 +24,7 @@
 
 
 CHOICES = [
-    # (what is known of a, what is known of b, chosen)
+    # (occupancy of a, occupancy of b, chosen endpoint)
     (occupancy(to_read=500), occupancy(), "b"),
     (occupancy(peak=800), occupancy(peak=100), "b"),
     (occupancy(peak=990), occupancy(to_read=500), "b"),
@@ -35,21 +35,21 @@
 
 
 @pytest.mark.parametrize("of_a,of_b,chosen", CHOICES)
-def test_choice_by_reading_memory_and_slots(router, of_a, of_b, chosen):
+def test_choice_by_prefill_memory_and_slots(router, of_a, of_b, chosen):
     router.observe("a", of_a)
     router.observe("b", of_b)
     found = router.choose(RECORDS, make_request(prompt=PROMPT), LIMIT)
     assert (found.name if found else None) == chosen
 
 
-def test_prefix_read_before_draws_the_request(router):
+def test_request_goes_to_the_endpoint_with_its_cached_prefix(router):
     earlier = make_request(prompt=PROMPT)
     router.begin("b", earlier)
     router.end("b", earlier)
     assert router.choose(RECORDS, make_request(prompt=PROMPT + " more"), LIMIT).name == "b"
 
 
-def test_endpoint_that_refused_is_left_alone_for_its_time(router, clock):
+def test_endpoint_that_refused_is_avoided_temporarily(router, clock):
     router.avoid("a", 0.05)
     assert router.choose(RECORDS[:1], make_request(), LIMIT) is None
     clock.advance(0.05)
@@ -57,11 +57,7 @@
 
 
 def test_requests_sent_since_the_last_report_count(router):
-    """
-    Symptom: a burst of requests all goes to the engine that was emptiest a moment ago.
-    Sequence: b's report shows it busier; several requests come before the next report.
-    Cause: reports lag; what this gateway has sent meanwhile was not added.
-    """
+    """A burst between two reports must not go to a single endpoint."""
     router.observe("a", occupancy())
     router.observe("b", occupancy(to_read=10))
     chosen = []
@@ -77,7 +73,7 @@
 
 
 CACHE_FAULTS = [
-    # (events heard, seconds later, leading blocks still believed cached)
+    # (events received, seconds since, leading blocks assumed to be cached)
     ([event(1, 0), event(2, 1)], 0, 2),
     ([event(1, 0), event(3, 2)], 0, 1),
     ([event(1, 0), event(2, 1), event(3, 0, stored=False)], 0, 0),
@@ -87,12 +83,8 @@
 
 
 @pytest.mark.parametrize("events,later,believed", CACHE_FAULTS)
-def test_cache_map_under_late_and_missing_events(clock, events, later, believed):
-    """
-    Symptom: requests keep going to an engine that evicted their prefix long ago.
-    Sequence: events are missing (here 2, or an eviction), or nothing is heard for long.
-    Cause: a map that only believed events would keep a block whose eviction event was lost.
-    """
+def test_cache_map_with_late_and_missing_events(clock, events, later, believed):
+    """A block whose eviction event was lost must not stay in the map."""
     blocks = prefix_blocks(PROMPT.split())
     cache = CacheMap(clock)
     cache.observe("a", [event(e.number, blocks[e.block], e.stored) for e in events])
@@ -100,20 +92,15 @@
     assert cache.cached_blocks("a", blocks) == believed
 
 
-def test_blocks_are_shared_by_exactly_the_common_prefix():
+def test_prompts_share_the_blocks_of_their_common_prefix():
     tokens = PROMPT.split()
     other = tokens[: 2 * BLOCK_TOKENS] + ["x"] + tokens[2 * BLOCK_TOKENS + 1 :]
     mine, theirs = prefix_blocks(tokens), prefix_blocks(other)
     assert mine[:2] == theirs[:2] and not set(mine[2:]) & set(theirs[2:])
 
 
-def test_gateways_agree_on_a_prefix_without_talking(clock):
-    """
-    Symptom: every engine reads the same long prefix again and again.
-    Sequence: three gateways each get one request about the same subject, and have heard
-    nothing of each other's.
-    Cause: a gateway knew only the prefixes it had sent itself.
-    """
+def test_gateways_choose_the_same_endpoint_for_a_prefix(clock):
+    """Gateways without knowledge of each other's requests must not spread a prefix over engines."""
     records = [EndpointRecord(f"e{n}", "svc", "dc", f"e{n}") for n in range(6)]
     prompts = [" ".join(f"{subject}-{n}" for n in range(400)) for subject in range(20)]
     homes = [
