--- a/tests/test_lengths.py
+++ b/tests/test_lengths.py
@@ -1,4 +1,4 @@
-"""Forecasts of how long generations run, from those that finished and callers' hints."""
+"""Tests of forecasts of output lengths."""
 
 import math
 import random
@@ -10,18 +10,18 @@
 from guavacleat.lengths import LengthForecast
 
 
-def test_before_any_finished_a_part_of_the_longest_is_expected():
+def test_initial_forecast_is_a_share_of_the_longest():
     assert 0.3 < LengthForecast(2000).expected_length(0, None) / 2000 < 0.5
 
 
-def test_what_finished_replaces_the_first_guess():
+def test_finished_lengths_replace_the_initial_samples():
     forecast = LengthForecast(2000)
     for _ in range(200):
         forecast.record_finished(100, None)
     assert forecast.expected_length(0, None) == 100
 
 
-def test_a_run_that_goes_on_is_expected_to_be_one_of_the_long_ones():
+def test_forecast_is_conditional_on_the_emitted_tokens():
     forecast = LengthForecast(2000)
     for number in range(100):
         forecast.record_finished(1500 if number % 10 == 0 else 100, None)
@@ -30,12 +30,8 @@
     assert forecast.expected_length(1800, None) > 1800
 
 
-def test_hints_that_are_often_far_off_are_better_than_none_and_worse_than_lengths_seen():
-    """
-    Symptom: engines run out of memory that was counted as free, or stand half empty.
-    Sequence: callers' hints are right in the middle and off by a factor of three.
-    Cause: taken as it is, a hint errs by more than the mean of what was seen before.
-    """
+def test_noisy_hints_improve_the_forecast():
+    """Forecasts with hints off by a factor of three beat both the mean length and the bare hint."""
     draw = random.Random(1)
     lengths = [min(2200, int(draw.lognormvariate(math.log(650), 0.84))) + 1 for _ in range(400)]
     hinted = [(length, length * draw.lognormvariate(0, 1.2)) for length in lengths]
@@ -52,7 +48,7 @@
     assert with_both < 0.85 * error(lambda hint: min(hint, 2200))
 
 
-def test_exact_hints_come_to_be_trusted():
+def test_exact_hints_determine_the_forecast():
     draw = random.Random(1)
     forecast = LengthForecast(2000)
     for _ in range(300):
@@ -67,7 +63,7 @@
     st.integers(0, 10**6),
     st.none() | st.floats(),
 )
-def test_a_forecast_is_always_more_than_what_is_out_already(longest, finished, emitted, hint):
+def test_forecast_exceeds_the_emitted_tokens(longest, finished, emitted, hint):
     forecast = LengthForecast(longest)
     for length, its_hint in finished:
         forecast.record_finished(length, its_hint)
@@ -75,12 +71,8 @@
 
 
 @pytest.mark.parametrize("hint", [float("inf"), float("nan"), -5.0, 0.0, 1e300])
-def test_one_callers_hint_does_not_spoil_the_forecasts_of_others(hint):
-    """
-    Symptom: every stream of a route ends with 502 after one caller's request.
-    Sequence: a caller hints at an endless output (``inf``), and its generation finishes.
-    Cause: the spread of hints became infinite, and with it each length's weight not a number.
-    """
+def test_invalid_hint_does_not_affect_other_forecasts(hint):
+    """A finished generation with an infinite hint must not turn later forecasts into NaN."""
     forecast = LengthForecast(2000)
     forecast.record_finished(100, hint)
     assert 0 < forecast.expected_length(0, 500.0) <= 2000
