--- a/src/guavacleat/checks/runs.py
+++ b/src/guavacleat/checks/runs.py
@@ -52,8 +52,8 @@
 
 
 def _check_drain(endpoint) -> list[Violation]:
-    if endpoint.drained_at is None:
+    if endpoint.drain_started_at is None:
         return []
-    limit = endpoint.drained_at + DRAIN_SECONDS
+    limit = endpoint.drain_started_at + DRAIN_SECONDS
     late = [s for s in endpoint.engine.sequences_by_id.values() if s.arrival > limit]
     return [Violation("leaving gets no new work", f"{endpoint.name}: {len(late)}")] if late else []
--- a/src/guavacleat/commands/demo.py
+++ b/src/guavacleat/commands/demo.py
@@ -63,7 +63,7 @@
     body = _body("switchboard", "carrier-nile-net", "interactive", "connect 0223456789")
     first = yield stream_completion(reactor, url, body, idempotency_key="conn-0223456789-1")
     again = yield stream_completion(reactor, url, body, idempotency_key="conn-0223456789-1")
-    runs = system.plain_by_name["switchboard-1"].runs_by_body["connect 0223456789"]
+    runs = system.plain_services_by_name["switchboard-1"].runs_by_body["connect 0223456789"]
     print(
         f"connection record: first {first.status} ({len(first.texts)} tokens), retry"
         f" {again.status}, same answer={again.texts == first.texts}, runs on the service={runs}"
--- a/src/guavacleat/commands/standin.py
+++ b/src/guavacleat/commands/standin.py
@@ -11,7 +11,7 @@
 from guavacleat.standin.engine import Engine
 from guavacleat.standin.engine_http import EngineApp
 from guavacleat.standin.listener import HttpListener
-from guavacleat.standin.routed import RoutedEndpoint, RoutedFault
+from guavacleat.standin.routed import EndpointFault, StandinEndpoint
 from guavacleat.standin.sequences import EngineSettings
 from guavacleat.standin.services import ServiceApp
 from guavacleat.standin.store import StoreApp, StoreState, restore_at_intervals
@@ -27,7 +27,7 @@
 flags.DEFINE_float("work_ms", 20.0, "Services: milliseconds a call takes.")
 
 flags.DEFINE_enum(
-    "fault", "none", [fault.value for fault in RoutedFault], "Routed: what it does wrong."
+    "fault", "none", [fault.value for fault in EndpointFault], "Routed: what it does wrong."
 )
 flags.DEFINE_float("restart_seconds", 1.0, "Routed: time until it is back after a crash.")
 flags.DEFINE_float(
@@ -49,7 +49,7 @@
             reactor, Site(ServiceApp(reactor, FLAGS.work_ms / 1000).resource()), listen
         )
     if kind == "routed":
-        endpoint = RoutedEndpoint(reactor, FLAGS.name or "routed", RoutedFault(FLAGS.fault))
+        endpoint = StandinEndpoint(reactor, FLAGS.name or "routed", EndpointFault(FLAGS.fault))
         listener = HttpListener(reactor, endpoint.listener, listen)
         endpoint.on_crash = lambda: listener.crash(FLAGS.restart_seconds)
         return listener
--- a/src/guavacleat/load/fleet.py
+++ b/src/guavacleat/load/fleet.py
@@ -103,13 +103,13 @@
         if policy.keeps_room:
             self.handler.refresh_capacity()
         self.dead = False
-        self.drained_at: float | None = None
+        self.drain_started_at: float | None = None
         self.stalled_until = 0.0
         # In order of the calls, so that a run repeats exactly.
         self.waiting: dict[defer.Deferred, None] = {}
 
     def record(self) -> dict:
-        draining = self.drained_at is not None
+        draining = self.drain_started_at is not None
         return EndpointRecord(self.name, self.service, "dc", self.name, draining).to_json()
 
     def kill(self) -> None:
@@ -120,7 +120,7 @@
 
     def drain(self) -> None:
         """A planned stop: no new work, and the open streams finish."""
-        self.drained_at = self.clock.seconds()
+        self.drain_started_at = self.clock.seconds()
         self.handler.begin_drain()
 
     def stall(self, seconds: float) -> None:
--- a/src/guavacleat/standin/local_routes.py
+++ b/src/guavacleat/standin/local_routes.py
@@ -8,7 +8,7 @@
 from guavacleat.routes.loader import load_routes
 from guavacleat.settings import Bounds, ProcessSettings
 from guavacleat.standin.listener import HttpListener
-from guavacleat.standin.routed import RoutedEndpoint
+from guavacleat.standin.routed import StandinEndpoint
 
 __all__ = ["LocalRoutes"]
 
@@ -27,7 +27,7 @@
 
     def start(self) -> None:
         for entry in self.file.endpoints:
-            endpoint = RoutedEndpoint(self.reactor, entry.id)
+            endpoint = StandinEndpoint(self.reactor, entry.id)
             listener = HttpListener(self.reactor, endpoint.listener, (LOOPBACK, 0))
             listener.startService()
             self.listeners.append(listener)
--- a/src/guavacleat/standin/routed.py
+++ b/src/guavacleat/standin/routed.py
@@ -1,8 +1,8 @@
-"""Stand-in endpoint for the ingress with a routes file: plain answers and streams, with faults.
+"""Stand-in for an endpoint behind the ingress: plain and streamed responses, with faults.
 
-Any path is answered. The fault in force decides how: see :class:`RoutedFault`. Runs are counted by
-request id, so that a test can tell what ran twice. Whatever the fault, a request whose body is
-``CRASH_BODY`` crashes the endpoint that has begun to run it.
+Every path gets a response, shaped by the active :class:`EndpointFault`. Runs are counted by request
+ID, so that tests can detect repeated runs. Regardless of the fault, a request whose body is
+``CRASH_BODY`` crashes the endpoint while it runs.
 """
 
 import enum
@@ -14,7 +14,7 @@
 from guavacleat.http1.server import CallerExchange, CallerListener
 from guavacleat.routes import CallerLimits
 
-__all__ = ["CRASH_BODY", "RoutedEndpoint", "RoutedFault"]
+__all__ = ["CRASH_BODY", "StandinEndpoint", "EndpointFault"]
 
 CRASH_BODY = b"crash"
 # From the beginning of such a request to the crash.
@@ -30,7 +30,7 @@
 OK = 200
 
 
-class RoutedFault(enum.Enum):
+class EndpointFault(enum.Enum):
     """What the endpoint does wrong."""
 
     NONE = "none"
@@ -44,14 +44,14 @@
     HANG = "hang"
 
 
-class RoutedEndpoint:
+class StandinEndpoint:
     """One endpoint; ``listener`` is the Twisted factory that serves it.
 
     :ivar on_crash: called when a request crashes the endpoint.
     :ivar work_seconds: what a plain answer takes.
     """
 
-    def __init__(self, clock: IReactorTime, id: str, fault: RoutedFault = RoutedFault.NONE):
+    def __init__(self, clock: IReactorTime, id: str, fault: EndpointFault = EndpointFault.NONE):
         self.clock = clock
         self.id = id
         self.fault = fault
@@ -61,10 +61,10 @@
         self.listener = CallerListener(clock, self._handle, CallerLimits)
 
     def _handle(self, exchange: CallerExchange) -> None:
-        if self.fault is RoutedFault.REFUSE:
+        if self.fault is EndpointFault.REFUSE:
             exchange.answer(UNAVAILABLE, [(NOT_RUN, b"1")], b"")
             return
-        if self.fault is RoutedFault.OTHER_INCARNATION:
+        if self.fault is EndpointFault.OTHER_INCARNATION:
             exchange.answer(MISDIRECTED, [], b"")
             return
         request_id = dict(exchange.head.headers).get(REQUEST_ID, b"")
@@ -72,9 +72,9 @@
         if exchange.body == CRASH_BODY:
             self.clock.callLater(CRASH_SECONDS, self.on_crash)
             return
-        if self.fault is RoutedFault.HANG:
+        if self.fault is EndpointFault.HANG:
             return
-        if self.fault is RoutedFault.RESET:
+        if self.fault is EndpointFault.RESET:
             exchange.cut()
             return
         headers = self._headers(request_id)
@@ -86,21 +86,21 @@
             self._answer(exchange, headers)
 
     def _headers(self, request_id: bytes) -> list[tuple[bytes, bytes]]:
-        id = b"of-another" if self.fault is RoutedFault.FOREIGN else request_id
-        signature = [] if self.fault is RoutedFault.UNSIGNED else [(ENDPOINT, self.id.encode())]
+        id = b"of-another" if self.fault is EndpointFault.FOREIGN else request_id
+        signature = [] if self.fault is EndpointFault.UNSIGNED else [(ENDPOINT, self.id.encode())]
         return [(REQUEST_ID, id), *signature]
 
     def _answer(self, exchange: CallerExchange, headers) -> None:
         if exchange.gone:
             return
         body = b"done by %s" % self.id.encode()
-        if self.fault is RoutedFault.TRUNCATE:
+        if self.fault is EndpointFault.TRUNCATE:
             exchange.begin(OK, b"OK", [*headers, (b"content-length", b"%d" % len(body))])
             exchange.write(body[:4])
             self.clock.callLater(EVENT_SECONDS, exchange.connection.close)
             return
         exchange.answer(OK, headers, body)
-        if self.fault is RoutedFault.EXTRA:
+        if self.fault is EndpointFault.EXTRA:
             exchange.connection.transport.write(
                 b"HTTP/1.1 200 OK\r\nx-endpoint: e\r\ncontent-length: 5\r\n\r\nextra"
             )
@@ -116,7 +116,7 @@
                 if not exchange.gone:
                     exchange.end()
                 return
-            if self.fault is RoutedFault.TRUNCATE and number == EVENTS:
+            if self.fault is EndpointFault.TRUNCATE and number == EVENTS:
                 events.stop()
                 exchange.cut()
                 return
--- a/src/guavacleat/standin/store.py
+++ b/src/guavacleat/standin/store.py
@@ -61,7 +61,7 @@
         self.era = 0
         self.copied: tuple[int, dict] = (0, {})
         self.revision = 0
-        self.forgotten_revision = 0
+        self.compacted_revision = 0
         self.objects_by_key: dict[tuple[str, str], StoredObject] = {}
         self.watchers_by_kind: dict[str, list[defer.Deferred]] = {}
         self.calls_by_type: dict[str, int] = {"read": 0, "write": 0, "watch": 0}
@@ -208,7 +208,7 @@
             return refused
         since = int(request.args.get(b"since", [b"0"])[0])
         wait = float(request.args.get(b"wait", [b"10"])[0])
-        if since < self.state.forgotten_revision or since > self.state.revision:
+        if since < self.state.compacted_revision or since > self.state.revision:
             return self._answer(request, 410, {"error": "history forgotten"})
         waiting = self.state.wait_for_change(kind, since, wait)
         waiting.addCallback(
@@ -241,7 +241,7 @@
         self.faults.delay = float(body.get("delay", self.faults.delay))
         self.faults.lose_acks = int(body.get("lose_acks", self.faults.lose_acks))
         if body.get("forget"):
-            self.state.forgotten_revision = self.state.revision
+            self.state.compacted_revision = self.state.revision
         return self._answer(request, 200, {"ok": True})
 
     @app.route("/v1/copy", methods=["POST"])
--- a/src/guavacleat/standin/system.py
+++ b/src/guavacleat/standin/system.py
@@ -41,7 +41,7 @@
         self.endpoints = endpoints
         self.engine_settings = engine_settings or {}
         self.engines_by_name: dict[str, Engine] = {}
-        self.plain_by_name: dict[str, ServiceApp] = {}
+        self.plain_services_by_name: dict[str, ServiceApp] = {}
         self.store_state = StoreState(reactor)
         self.store_app = StoreApp(self.store_state)
         self.store = HttpListener(reactor, Site(self.store_app.resource()), (LOOPBACK, 0))
@@ -63,7 +63,7 @@
     def _start_endpoint(self, name: str, service_name: str, kind: str) -> None:
         if kind == "plain":
             standin = ServiceApp(self.reactor)
-            self.plain_by_name[name] = standin
+            self.plain_services_by_name[name] = standin
         else:
             engine = Engine(self.reactor, EngineSettings(name=name, **self.engine_settings))
             self.engines_by_name[name] = engine
--- a/tests/network.py
+++ b/tests/network.py
@@ -93,14 +93,14 @@
 class Network(Clock):
     """The reactor of every instance.
 
-    :ivar cuts: pairs of ips of which the second receives no datagram of the first.
+    :ivar blocked_links: (source, destination) pairs of IPs whose datagrams are dropped.
     """
 
     def __init__(self):
         super().__init__()
         self.listening = {}
         self.datagram_ports = {}
-        self.cuts = set()
+        self.blocked_links = set()
         self.datagram_bytes = 0
         self._next_port = FIRST_FREE_PORT
 
@@ -138,7 +138,7 @@
     def carry(self, sender, data, address):
         """Bring a datagram to its address, unless the way is cut."""
         self.datagram_bytes += len(data)
-        if (sender.address[0], address[0]) not in self.cuts:
+        if (sender.address[0], address[0]) not in self.blocked_links:
             self.callLater(DELAY_SECONDS, self._arrive, data, sender.address, address)
 
     def _arrive(self, data, source, address):
--- a/tests/quarantine/crashing_fleet.py
+++ b/tests/quarantine/crashing_fleet.py
@@ -17,7 +17,7 @@
 from guavacleat.routes.loader import parse_routes
 from guavacleat.settings import Bounds, ProcessSettings
 from guavacleat.standin.listener import HttpListener
-from guavacleat.standin.routed import CRASH_BODY, RoutedEndpoint
+from guavacleat.standin.routed import CRASH_BODY, StandinEndpoint
 from tests.network import Network
 from tests.peers.fleet import SharedStore, StoreLink
 
@@ -51,7 +51,7 @@
     def __init__(self, fleet, name, ip):
         self.fleet, self.name, self.ip = fleet, name, ip
         self.starts = 0
-        self.routed = RoutedEndpoint(fleet.network, name)
+        self.routed = StandinEndpoint(fleet.network, name)
         self.routed.on_crash = self.crash
         self.routed.work_seconds = fleet.work_seconds
         self.listener = HttpListener(fleet.network, self.routed.listener, (ip, 80))
--- a/tests/quarantine/test_crashing_requests.py
+++ b/tests/quarantine/test_crashing_requests.py
@@ -65,7 +65,7 @@
 def test_a_gateway_learns_of_crashes_after_a_partition():
     fleet = CrashingFleet(gateways=4, data_centres=2)
     ips = {name: gateway.settings.ip for name, gateway in fleet.gateways.items()}
-    fleet.network.cuts = {
+    fleet.network.blocked_links = {
         pair
         for name, ip in ips.items()
         if name != "g3"
@@ -75,7 +75,7 @@
         fleet.send_crasher("listing", gateway="g0")
         fleet.network.pass_time(2.0)
     assert not fleet.gateways["g3"].crashes.quarantined_fingerprints()
-    fleet.network.cuts = set()
+    fleet.network.blocked_links = set()
     fleet.network.pass_time(4.0)
     assert fleet.gateways["g3"].crashes.quarantined_fingerprints()
 
--- a/tests/store/test_contract.py
+++ b/tests/store/test_contract.py
@@ -75,7 +75,7 @@
     result_of(store.put("endpoints", "e2", {"n": 1}, 0), stub_http.flush)
     result_of(store.put("endpoints", "e3", {"n": 1}, 0), stub_http.flush)
     loop.revision = 1
-    store_app.state.forgotten_revision = store_app.state.revision
+    store_app.state.compacted_revision = store_app.state.revision
     for _ in range(4):
         clock.advance(1)
         stub_http.flush()
