--- a/src/guavacleat/sidecar/__init__.py
+++ b/src/guavacleat/sidecar/__init__.py
@@ -1,4 +1,4 @@
-"""The process beside one endpoint: forwards generations, holds the endpoint's lease, drains."""
+"""Sidecar process of one endpoint: proxies generations, renews the endpoint's lease and drains."""
 
 from guavacleat.sidecar.service import SidecarService
 
--- a/src/guavacleat/sidecar/engine_client.py
+++ b/src/guavacleat/sidecar/engine_client.py
@@ -1,4 +1,4 @@
-"""HTTP client for an engine's streaming interface (the stand-in's, see standin.engine_http)."""
+"""HTTP client for an engine's streaming API, as ``standin.engine_http`` implements it."""
 
 import json
 
@@ -8,11 +8,11 @@
 
 __all__ = ["EngineClient", "EngineBatch"]
 
-CALL_TIMEOUT = 5.0
+CALL_TIMEOUT_SECONDS = 5.0
 
 
 class EngineBatch:
-    """Tokens from ``first_index`` on, as one pull from the engine returned them."""
+    """Tokens starting at ``first_index``, returned by one read of a stream."""
 
     __slots__ = ("generation", "first_index", "tokens", "finished", "finish_reason", "preemptions")
 
@@ -26,7 +26,7 @@
 
 
 class EngineClient:
-    """Calls one engine at ``base_url`` (``http://host:port``)."""
+    """Client of the engine at ``base_url`` (``http://host:port``)."""
 
     def __init__(self, base_url: str, http=None):
         self.base_url = base_url.rstrip("/")
@@ -36,7 +36,8 @@
     def generate(self, request_id: str, prompt: str, max_tokens: int, priority: int, resume=()):
         """Fire with ``(stream_id, generation)`` once the engine has queued the generation.
 
-        ``resume``: tokens already sent to the caller, which the engine prefills and continues.
+        :param resume: tokens already sent to the caller; the engine prefills them and continues
+            the generation from there.
         """
         body = {
             "request_id": request_id,
@@ -45,44 +46,49 @@
             "priority": priority,
             "resume": list(resume),
         }
-        answer = yield self._json("POST", "/v1/generate", body)
+        answer = yield self._request_json("POST", "/v1/generate", body)
         return answer["stream_id"], answer["generation"]
 
     @defer.inlineCallbacks
     def read(self, stream_id: str, cursor: int, wait: float):
-        """Fire with an :class:`EngineBatch` of the tokens from ``cursor`` on."""
+        """Fire with an :class:`EngineBatch` of the tokens starting at ``cursor``.
+
+        :param wait: seconds the engine may wait for a new token (long poll).
+        """
         path = f"/v1/streams/{stream_id}?cursor={cursor}&wait={wait}"
-        answer = yield self._json("GET", path, timeout=wait + CALL_TIMEOUT)
+        answer = yield self._request_json("GET", path, timeout=wait + CALL_TIMEOUT_SECONDS)
         return EngineBatch(**answer)
 
     def cancel(self, stream_id: str) -> defer.Deferred:
-        return self._json("DELETE", f"/v1/streams/{stream_id}")
+        return self._request_json("DELETE", f"/v1/streams/{stream_id}")
 
     @defer.inlineCallbacks
     def order(self, kind: str, target: str, fencing: int):
-        """Fire with True if the engine applied the order, False if it refused it as stale."""
+        """Fire with True if the engine applied the order, False if it rejected it as stale."""
         body = {"kind": kind, "target": target, "fencing": fencing}
         data = json.dumps(body).encode()
         response = yield self.http.request(
-            "POST", self.base_url + "/v1/orders", data=data, timeout=CALL_TIMEOUT
+            "POST", self.base_url + "/v1/orders", data=data, timeout=CALL_TIMEOUT_SECONDS
         )
         yield response.content()
         return response.code == 200
 
     def load(self) -> defer.Deferred:
-        return self._json("GET", "/v1/load")
+        return self._request_json("GET", "/v1/load")
 
     @defer.inlineCallbacks
     def cache_events(self, since: int):
-        """Fire with ``[(number, "stored" or "evicted", block)]`` after event ``since``."""
-        answer = yield self._json("GET", f"/v1/cache-events?since={since}")
+        """Fire with ``[(number, "stored" or "evicted", block)]`` for the events after ``since``."""
+        answer = yield self._request_json("GET", f"/v1/cache-events?since={since}")
         return answer["events"]
 
     @defer.inlineCallbacks
-    def _json(self, method: str, path: str, body=None, timeout: float = CALL_TIMEOUT):
+    def _request_json(
+        self, method: str, path: str, body=None, timeout: float = CALL_TIMEOUT_SECONDS
+    ):
         data = None if body is None else json.dumps(body).encode()
         response = yield self.http.request(method, self.base_url + path, data=data, timeout=timeout)
         content = yield response.content()
         if response.code != 200:
-            raise LookupError(f"engine answered {response.code} to {method} {path}")
+            raise LookupError(f"engine returned HTTP {response.code} for {method} {path}")
         return json.loads(content)
--- a/src/guavacleat/sidecar/handler.py
+++ b/src/guavacleat/sidecar/handler.py
@@ -1,4 +1,4 @@
-"""Implements the thrift ``Sidecar`` service by forwarding to the engine beside it."""
+"""Handler of the thrift ``Sidecar`` service, which forwards calls to the local engine."""
 
 from twisted.internet import defer
 from twisted.internet.error import ConnectionRefusedError
@@ -27,21 +27,21 @@
 ENGINE_DOWN_RETRY_MS = 1000
 ORDER_STORE_RETRY_MS = 2000
 FULL_RETRY_MS = 50
-# The latest events of a digest; older ones are left out, which the reader takes for a gap. It
-# bounds a gateway's control traffic (16 digests a second) below 12 KB/s at any fleet size.
+# A digest carries only the latest events, to bound the gateways' control traffic. The reader
+# detects dropped events by the gap in their numbers.
 MAX_DIGEST_EVENTS = 12
 STORED = "stored"
 
 
 @implementer(Sidecar.Iface)
 class SidecarHandler:
-    """Thrift handler; every method returns a Deferred.
+    """Thrift handler; every thrift method returns a Deferred.
 
     :param endpoint: this endpoint's name, as in the settings.
-    :param engine: client of the engine beside this sidecar.
-    :param store: client of the object API, for the fencing numbers of orders.
-    :param clock: times the streams left unread.
-    :param headroom: share of the engine's memory kept free.
+    :param engine: client of the local engine.
+    :param store: client of the object API, which holds the fencing numbers of orders.
+    :param clock: reactor time, for the idle timeout of streams.
+    :param headroom: fraction of the engine's memory to keep free.
     """
 
     def __init__(self, endpoint: str, engine: EngineClient, store, clock, headroom=HEADROOM):
@@ -55,17 +55,16 @@
 
     @defer.inlineCallbacks
     def start(self, request):
-        # A leaving endpoint must get no new work; the refusal happens before the engine is
-        # called, so "not run" is true and the gateway may send the request elsewhere.
+        # Refused before the engine is called, so the gateway may safely retry elsewhere.
         if self.draining:
             raise NotRun(reason=f"{self.endpoint} is draining", retry_after_ms=DRAINING_RETRY_MS)
-        stream = _running(request)
+        stream = _running_stream(request)
         if not self.occupancy.fits(stream):
             raise NotRun(
                 reason=f"{self.endpoint} has no room now", retry_after_ms=FULL_RETRY_MS, full=True
             )
-        # Counted from before the engine is called: two starts arriving together must not both
-        # be given the last room.
+        # Memory is reserved before the engine is called, so that concurrent starts cannot both
+        # be admitted to the last free memory.
         self.occupancy.add(request.request_id, stream)
         stream_id = None
         self.streams.begin_start()
@@ -78,8 +77,8 @@
                 resume=request.resume_tokens or (),
             )
         except ConnectionRefusedError as exc:
-            # Refused connection: the engine never read the request, so it did not run. Any
-            # other failure (timeout, reset) leaves it unknown and is not reported as not run.
+            # The engine cannot have read the request. After any other failure (timeout, reset)
+            # it may have, so those are not reported as NotRun.
             raise NotRun(
                 reason=f"engine of {self.endpoint} refused the connection",
                 retry_after_ms=ENGINE_DOWN_RETRY_MS,
@@ -125,10 +124,10 @@
         self.occupancy.remove(stream_id, finished)
 
     def cancel_idle(self) -> None:
-        """Cancel the streams nobody reads any more.
+        """Cancel streams that have not been read within the idle timeout.
 
-        A gateway that died, or whose caller hung up, leaves its streams running to their end:
-        the engine's memory fills with answers nobody will get, and a drain waits for them.
+        Streams whose gateway died or whose caller disconnected would otherwise run to their end,
+        holding engine memory and delaying a drain.
         """
         for stream_id in self.streams.idle():
             self.cancel(stream_id).addErrback(lambda _: None)
@@ -147,16 +146,16 @@
 
     @defer.inlineCallbacks
     def refresh_capacity(self):
-        """Read the engine's sizes; without an answer the last ones stand."""
+        """Update the engine's limits from its load report; keep the previous ones on failure."""
         try:
             report = yield self.engine.load()
-        except Exception:  # noqa: BLE001 - whatever keeps the engine from answering
+        except Exception:  # noqa: BLE001 - any failure of the engine or the link
             return
         self.occupancy.set_limits(report["kv_capacity"], report["slots"])
 
     @defer.inlineCallbacks
     def digest(self, since: int):
-        """Occupancy and cache events after ``since``, for gateways without streams here."""
+        """Occupancy and cache events after ``since``, for gateways with no open stream here."""
         events = yield self.engine.cache_events(since)
         return Digest(
             occupancy=self.occupancy.report(),
@@ -167,15 +166,15 @@
         )
 
     def order(self, order):
-        """Forward an order to the engine unless its fencing number is older than the newest.
+        """Forward an order to the engine unless its fencing number is stale.
 
-        An issuer paused past its turn still believes it holds the order lease and sends its old
-        number; engines of some deployments would apply it anyway. The newest number is read
-        from the object API on every order (orders are rare), so a restarted sidecar fences as
-        well as a long-running one. Without the store the order is refused as not run.
+        An issuer that was paused past the expiry of its order lease may still send orders, and
+        some engines do not check fencing numbers themselves. The current number is read from the
+        object API for every order, so that fencing survives a restart of the sidecar. While the
+        object API is unreachable, orders are refused as NotRun.
 
-        Orders pass one at a time: otherwise an order whose check is answered slowly would reach
-        the engine after a newer one that was checked and forwarded meanwhile.
+        Orders are serialised: otherwise an order whose check is slow could reach the engine
+        after a newer one.
         """
         return self.order_lock.run(self._order, order)
 
@@ -195,12 +194,12 @@
             raise StaleOrder(fencing=order.fencing, newest=newest)
 
     def begin_drain(self) -> defer.Deferred:
-        """Refuse new work from now on; fire once every open stream has finished."""
+        """Stop accepting starts; fire once every open stream has closed."""
         self.draining = True
         return self.streams.drain()
 
 
-def _running(request) -> RunningStream:
+def _running_stream(request) -> RunningStream:
     resumed = len(request.resume_tokens or ())
     kind = (request.service_name, request.priority)
     return RunningStream(kind, len(request.prompt.split()), request.max_tokens, resumed)
--- a/src/guavacleat/sidecar/occupancy.py
+++ b/src/guavacleat/sidecar/occupancy.py
@@ -1,11 +1,11 @@
-"""What runs on an endpoint's engine, and whether one more generation fits.
-
-Engines admit whatever fits their memory now; when the outputs then grow past it in mid-decode,
-the engine preempts a generation, and its caller hears silence until it is read in again. The
-sidecar sees every gateway's streams of its engine, so it is the one place that can keep room for
-their growth without the gateways agreeing on anything: it refuses a start (not run, full) when
-the expected peak of memory would pass the capacity less a headroom. Waiting then happens in the
-gateways' queues, where it is shared fairly, and not in the engine's.
+"""Admission control by the expected memory use of an endpoint's engine.
+
+Engines admit any generation whose prompt fits into memory. If the outputs later outgrow the
+memory, the engine preempts a generation, which stalls until it has been prefilled again. The
+sidecar sees the streams of all gateways on its engine, so it can reserve memory for their growth
+without coordination between gateways: it refuses a start (``NotRun`` with ``full``) if the
+expected peak would exceed the capacity less a headroom. Requests then wait in the fair queues of
+the gateways rather than in the engine's.
 """
 
 import itertools
@@ -16,33 +16,41 @@
 
 __all__ = ["EngineOccupancy", "HEADROOM", "RunningStream"]
 
-# Share of the engine's memory kept free for outputs longer than expected, unless set otherwise
-# (docs/operators/tuning.md has the figures for other values).
+# Default fraction of the engine's memory kept free for outputs longer than expected; see
+# docs/operators/tuning.md.
 HEADROOM = 0.03
 
 
 class RunningStream:
-    """One stream's memory: ``held`` tokens now and ``kind`` to estimate its growth."""
+    """Memory use of one stream, in tokens.
 
-    __slots__ = ("kind", "prompt_tokens", "emitted", "max_tokens", "reading")
+    :param kind: key of the length estimate, ``(service, priority)``.
+    :param emitted: tokens generated so far.
+
+    ``prefilling`` is true until the stream emits its first token here.
+    """
+
+    __slots__ = ("kind", "prompt_tokens", "emitted", "max_tokens", "prefilling")
 
     def __init__(self, kind: tuple, prompt_tokens: int, max_tokens: int, emitted: int = 0):
         self.kind = kind
         self.prompt_tokens = prompt_tokens
         self.max_tokens = max_tokens
         self.emitted = emitted
-        self.reading = True
+        self.prefilling = True
 
     @property
-    def held(self) -> int:
+    def held_tokens(self) -> int:
         return self.prompt_tokens + self.emitted
 
 
 class EngineOccupancy:
-    """The streams on one engine by id; ``capacity`` 0 means not yet known (then all fits).
+    """Streams on one engine and their expected memory use.
+
+    While ``capacity`` is 0 (unknown), every stream is admitted. Requests of the most urgent
+    priority may use the headroom: they are short, and would otherwise wait behind long ones.
 
-    The headroom is kept free from all but the most urgent requests: those are short-lived, and
-    otherwise wait for a summary to end whenever the engine is as full as it may be.
+    :param headroom: fraction of the capacity kept free for outputs longer than expected.
     """
 
     def __init__(self, headroom: float = HEADROOM):
@@ -51,75 +59,76 @@
         self.streams_by_id: dict[str, RunningStream] = {}
         self.capacity = 0
         self.slots = 0
-        self._peak: tuple[int, int] | None = (0, 0)
+        self._cached_peak: tuple[int, int] | None = (0, 0)
 
     def set_limits(self, capacity: int, slots: int) -> None:
-        """Take in the engine's sizes from its load report."""
+        """Set the engine's memory in tokens and its maximum number of concurrent streams."""
         self.capacity = capacity
         self.slots = slots
 
     def fits(self, stream: RunningStream) -> bool:
-        """Whether ``stream`` may start now; an idle engine takes any stream."""
+        """Whether ``stream`` may start now; an idle engine admits any stream."""
         if not self.capacity or not self.streams_by_id:
             return True
         if len(self.streams_by_id) >= self.slots:
             return False
-        peak, _ = self._peak_of([*self.streams_by_id.values(), stream])
-        return peak <= self.capacity - self._kept_free(stream)
+        peak, _ = self._expected_peak([*self.streams_by_id.values(), stream])
+        return peak <= self.capacity - self._reserved_tokens(stream)
 
-    def _kept_free(self, stream: RunningStream) -> int:
+    def _reserved_tokens(self, stream: RunningStream) -> int:
         _, priority = stream.kind
         return 0 if priority == URGENT_PRIORITY else int(self.capacity * self.headroom)
 
     def add(self, stream_id: str, stream: RunningStream) -> None:
         self.streams_by_id[stream_id] = stream
-        self._peak = None
+        self._cached_peak = None
 
     def record_emitted(self, stream_id: str, total: int) -> None:
-        """Note that a stream has emitted ``total`` tokens so far."""
+        """Set the number of tokens that a stream has emitted to ``total``, if that is more."""
         stream = self.streams_by_id.get(stream_id)
         if stream is not None and total > stream.emitted:
             stream.emitted = total
-            stream.reading = False
-            self._peak = None
+            stream.prefilling = False
+            self._cached_peak = None
 
     def remove(self, stream_id: str, finished: bool = False) -> None:
-        """The stream ended; learn its length if it ran to its end."""
+        """Remove a closed stream; record its length if it finished."""
         stream = self.streams_by_id.pop(stream_id, None)
         if stream is None:
             return
-        self._peak = None
+        self._cached_peak = None
         if finished:
             self.lengths.record_finished(stream.kind, stream.emitted)
 
     def report(self) -> Occupancy:
-        if self._peak is None:
-            self._peak = self._peak_of(self.streams_by_id.values())
+        if self._cached_peak is None:
+            self._cached_peak = self._expected_peak(self.streams_by_id.values())
         return Occupancy(
             open_streams=len(self.streams_by_id),
             slots=self.slots,
-            held=sum(stream.held for stream in self.streams_by_id.values()),
-            peak=self._peak[0],
+            held=sum(stream.held_tokens for stream in self.streams_by_id.values()),
+            peak=self._cached_peak[0],
             capacity=self.capacity,
-            peak_in=self._peak[1],
+            peak_in=self._cached_peak[1],
             kept_free=int(self.capacity * self.headroom),
-            to_read=sum(s.held for s in self.streams_by_id.values() if s.reading),
+            to_read=sum(s.held_tokens for s in self.streams_by_id.values() if s.prefilling),
         )
 
-    def _peak_of(self, streams) -> tuple[int, int]:
-        """The most memory the streams are expected to hold together, and in how many steps.
+    def _expected_peak(self, streams) -> tuple[int, int]:
+        """Expected peak of the streams' total memory in tokens, and the decode steps until then.
 
-        All streams grow a token a step. When the stream with the least left ends, the others
-        have each grown by that much; memory is highest at one of those ends.
+        Each running stream grows by one token per step and frees its memory when it ends, so the
+        peak is at the end of one of the streams.
         """
         ends = sorted(
-            (self.lengths.remaining(s.kind, s.emitted, s.max_tokens), s.held) for s in streams
+            (self.lengths.remaining(s.kind, s.emitted, s.max_tokens), s.held_tokens)
+            for s in streams
         )
-        held_from = list(itertools.accumulate((held for _, held in reversed(ends)), initial=0))
+        held_by_count = list(itertools.accumulate((held for _, held in reversed(ends)), initial=0))
         running = range(len(ends), 0, -1)
         return max(
             (
-                (held_from[count] + count * remaining, remaining)
+                (held_by_count[count] + count * remaining, remaining)
                 for count, (remaining, _) in zip(running, ends, strict=True)
             ),
             default=(0, 0),
--- a/src/guavacleat/sidecar/service.py
+++ b/src/guavacleat/sidecar/service.py
@@ -1,4 +1,4 @@
-"""The sidecar as a Twisted service: thrift listener, lease, and drain on a planned stop."""
+"""Twisted service of the sidecar: thrift listener, endpoint lease, and drain on shutdown."""
 
 from uuid import uuid4
 
@@ -28,19 +28,19 @@
 
 
 class SidecarService(service.Service):
-    """Serves one endpoint.
+    """Sidecar of one endpoint.
 
-    :param reactor: provides TCP and time.
     :param name: the endpoint's name in the settings.
     :param service_name: the service the endpoint belongs to.
-    :param data_centre: where it runs.
-    :param listen: ``(host, port)`` for thrift; port 0 picks a free one.
-    :param engine_url: ``http://host:port`` of the engine beside it.
+    :param data_centre: the data centre of the endpoint.
+    :param listen: ``(host, port)`` of the thrift listener; port 0 picks a free port.
+    :param engine_url: ``http://host:port`` of the local engine or plain service.
     :param store_url: ``http://host:port`` of the object API.
-    :param instance: the platform's name for the instance this runs on, as its list gives it.
-    :param headroom: share of the engine's memory kept free for longer outputs.
-    :param kind: what stands beside it, see ``CLIENTS_BY_KIND``.
-    :param on_superseded: called once drained if another sidecar has taken this endpoint over.
+    :param instance: the platform's name of the instance, as in its instance listing.
+    :param on_superseded: called after a drain caused by another sidecar that took over the
+        endpoint's lease.
+    :param headroom: fraction of the engine's memory kept free for outputs longer than expected.
+    :param kind: type of the local backend, a key of ``CLIENTS_BY_KIND``.
     """
 
     def __init__(
@@ -91,10 +91,9 @@
 
     @defer.inlineCallbacks
     def stopService(self):  # noqa: N802 - Twisted's name
-        """Graceful stop: announce draining, let open streams finish, then close."""
-        # Refuse new work before telling the store: the write may be slow or lost, and a start
-        # accepted meanwhile would be new work for a leaving endpoint. Refused starts are "not
-        # run", so gateways send them elsewhere at once.
+        """Shut down gracefully: publish draining, wait for open streams, close the listener."""
+        # Starts are refused before draining is written to the store, since that write may be slow
+        # or fail. Gateways retry refused starts on other endpoints at once.
         drained = self.handler.begin_drain()
         yield self.lease.mark_draining()
         drained.addTimeout(DRAIN_GRACE_SECONDS, self.reactor)
@@ -104,9 +103,9 @@
             log_message(
                 message_type="sidecar:drain-timeout", open_streams=len(self.handler.streams)
             )
-        # The drain is over when the last answer is ready, not when it has been sent: stopping at
-        # once would close its connection first, and the caller of a call that may not be repeated
-        # would be told that it may have run.
+        # The drain ends when the last reply is ready, not when it has been written to its
+        # connection. Closing earlier would lose that reply, and the outcome of a non-repeatable
+        # call would be reported as unknown.
         yield task.deferLater(self.reactor, FLUSH_SECONDS)
         for periodic in (self.lease.rounds, self.idle_sweep, self.engine_refresh):
             periodic.stop()
--- a/tests/sidecar/test_plain_client.py
+++ b/tests/sidecar/test_plain_client.py
@@ -1,4 +1,4 @@
-"""Contract of plain services behind a sidecar, with their faults in a table."""
+"""Calls to plain services through a sidecar, and their failures."""
 
 import pytest
 from treq.testing import StubTreq
@@ -24,7 +24,7 @@
     return ServiceApp(clock, work_seconds=0.02)
 
 
-def test_call_is_answered_whole_and_its_answer_can_be_read_again(clock, store, service):
+def test_answer_is_one_batch_and_can_be_read_again(clock, store, service):
     http = StubTreq(service.resource())
     handler = SidecarHandler("e1", PlainClient("http://service", http=http), store, clock)
     starting = handler.start(CALL)
@@ -37,23 +37,15 @@
     assert service.runs_by_body == {"connect 022": 1}
 
 
-def test_unreachable_service_is_not_run(clock, store):
-    """
-    Symptom: a connection record that never ran is reported as perhaps run.
-    Sequence: the service's process is down; the connection is refused.
-    Cause: only a refused connection proves that the service read nothing.
-    """
+def test_refused_connection_is_reported_as_not_run(clock, store):
+    """Guards against reporting an unknown outcome when the service refused the connection."""
     handler = SidecarHandler("e1", PlainClient("http://s", http=RefusingHttp()), store, clock)
     with pytest.raises(NotRun):
         result_of(handler.start(CALL))
 
 
-def test_lost_answer_is_not_reported_as_not_run(clock, store, service):
-    """
-    Symptom: a call is made again by a caller who was told it did not run.
-    Sequence: the service runs the call and its answer is lost.
-    Cause: a lost answer says nothing about whether the call ran.
-    """
+def test_lost_response_is_not_reported_as_not_run(clock, store, service):
+    """Guards against a NotRun for a call whose response was lost after it had run."""
     http = StubTreq(service.resource())
     handler = SidecarHandler("e1", PlainClient("http://service", http=http), store, clock)
     service.lose_answers = 1
