--- a/src/guavacleat/streams/__init__.py
+++ b/src/guavacleat/streams/__init__.py
@@ -1,6 +1,6 @@
-"""Relaying one generation from an endpoint to a caller, token by token, by cursor."""
+"""Relay of a generation's tokens from an endpoint to the caller, with resumption by cursor."""
 
-from guavacleat.streams.messages import CompletionRequest, StreamMixupError
+from guavacleat.streams.messages import CompletionRequest, StreamMismatchError
 from guavacleat.streams.relay import Relay
 
-__all__ = ["CompletionRequest", "Relay", "StreamMixupError"]
+__all__ = ["CompletionRequest", "Relay", "StreamMismatchError"]
--- a/src/guavacleat/streams/serving.py
+++ b/src/guavacleat/streams/endpoint_stream.py
@@ -1,4 +1,4 @@
-"""One stream as it runs on one endpoint: its start, its pulls, its end, over bounded calls."""
+"""Calls to the sidecar of the endpoint that runs a stream: start, pull and cancel."""
 
 import contextlib
 
@@ -9,30 +9,38 @@
 from guavacleat.protocol.gen.sidecar.ttypes import NotRun, StartRequest, UnknownStream
 from guavacleat.streams.messages import CompletionRequest, ResumePoint, StreamBrokenError
 
-__all__ = ["PULL_TIMEOUT_MARGIN", "PULL_WAIT_MS", "START_TIMEOUT", "Serving", "bounded", "start_on"]
+__all__ = [
+    "PULL_TIMEOUT_MARGIN_SECONDS",
+    "PULL_WAIT_MS",
+    "START_TIMEOUT_SECONDS",
+    "EndpointStream",
+    "call_with_timeout",
+    "start_stream",
+]
 
 PULL_WAIT_MS = 1000
-PULL_TIMEOUT_MARGIN = 2.0
-START_TIMEOUT = PULL_WAIT_MS / 1000 + PULL_TIMEOUT_MARGIN
+PULL_TIMEOUT_MARGIN_SECONDS = 2.0
+START_TIMEOUT_SECONDS = PULL_WAIT_MS / 1000 + PULL_TIMEOUT_MARGIN_SECONDS
 
 
-def bounded(clock, method, *args) -> defer.Deferred:
-    """Call a sidecar with a bound on the wait.
+def call_with_timeout(clock, method, *args) -> defer.Deferred:
+    """Call a sidecar; fail with TimeoutError if it does not reply in time.
 
-    A stalled link or a frozen endpoint never answers; without a bound the caller would wait
-    forever. A pull answers within PULL_WAIT_MS when the endpoint is well.
+    A healthy sidecar replies to a pull within PULL_WAIT_MS, so one timeout serves all calls.
     """
     calling = defer.maybeDeferred(method, *args)
-    return calling.addTimeout(START_TIMEOUT, clock)
+    return calling.addTimeout(START_TIMEOUT_SECONDS, clock)
 
 
-class Serving:
-    """The endpoint now serving a stream, its link, and the answer to its start.
+class EndpointStream:
+    """A stream started on an endpoint.
 
     :param pool: a ``SidecarPool``.
+    :param client: the thrift client of the endpoint's sidecar.
+    :param reply: the sidecar's ``StartReply``.
     """
 
-    __slots__ = ("clock", "pool", "endpoint", "client", "reply", "began")
+    __slots__ = ("clock", "pool", "endpoint", "client", "reply", "started_at")
 
     def __init__(self, clock, pool, endpoint, client, reply):
         self.clock = clock
@@ -40,28 +48,29 @@
         self.endpoint = endpoint
         self.client = client
         self.reply = reply
-        self.began = clock.seconds()
+        self.started_at = clock.seconds()
 
     def handle(self) -> str:
-        """What a caller brings to reconnect to this stream."""
+        """The handle with which a caller reconnects to this stream."""
         return ResumePoint(self.endpoint.name, self.reply.stream_id, self.reply.generation).handle()
 
     @defer.inlineCallbacks
     def pull(self, request: CompletionRequest, cursor: int):
-        """Fire with the batch at ``cursor``; a failed pull is read once more over a new link.
+        """Fire with the batch at ``cursor``.
 
-        Raises StreamBrokenError if the endpoint does not give it.
+        A pull that fails on a connection error is retried once over a new connection. Raises
+        StreamBrokenError if the batch cannot be read.
         """
         try:
             batch = yield self._pull(cursor)
             return batch
         except (UnknownStream, TApplicationException) as exc:
-            # The link is well: the endpoint has lost the stream or its engine does not answer.
+            # The connection works: the stream is gone or the engine does not respond.
             failed = exc
         except defer.TimeoutError as exc:
             failed = exc
             self.pool.discard(self.endpoint.address)
-        except Exception as exc:  # noqa: BLE001 - any failure of the link
+        except Exception as exc:  # noqa: BLE001 - any connection error
             failed = exc
             self.pool.discard(self.endpoint.address)
             with contextlib.suppress(Exception):
@@ -74,36 +83,38 @@
         ) from failed
 
     def _pull(self, cursor: int) -> defer.Deferred:
-        return bounded(self.clock, self.client.pull, self.reply.stream_id, cursor, PULL_WAIT_MS)
+        return call_with_timeout(
+            self.clock, self.client.pull, self.reply.stream_id, cursor, PULL_WAIT_MS
+        )
 
-    def cancel_quietly(self) -> None:
-        """Free the endpoint's memory if it is alive; it may be gone, which is no matter.
+    def cancel_best_effort(self) -> None:
+        """Ask the endpoint to cancel the stream, ignoring failures.
 
-        A dead link may also fail synchronously, hence the suppress.
+        A closed connection may also raise synchronously.
         """
         with contextlib.suppress(Exception):
             self.client.cancel(self.reply.stream_id).addErrback(lambda _: None)
 
 
 @defer.inlineCallbacks
-def start_on(clock, pool, endpoint, request: CompletionRequest, sent: list[str]):
-    """Start ``request`` on ``endpoint``, going on after ``sent``; fire with a :class:`Serving`.
+def start_stream(clock, pool, endpoint, request: CompletionRequest, sent: list[str]):
+    """Start ``request`` on ``endpoint``, continuing after the tokens ``sent``.
 
-    Raises thrift's NotRun or ConnectError if the endpoint cannot have started it, and
-    StreamBrokenError if the answer was lost, so that it may have.
+    Fires with an :class:`EndpointStream`. Raises thrift's NotRun or ConnectError if the endpoint
+    cannot have started the request, StreamBrokenError if it may have.
     """
     client = yield pool.client(endpoint.address)
     try:
-        reply = yield bounded(clock, client.start, _start_request(request, sent))
+        reply = yield call_with_timeout(clock, client.start, _start_request(request, sent))
     except (NotRun, ConnectError):
         raise
-    except Exception as exc:  # noqa: BLE001 - the start was sent and its answer lost
+    except Exception as exc:  # noqa: BLE001 - the start was sent, its reply lost
         if not isinstance(exc, TApplicationException):
             pool.discard(endpoint.address)
         raise StreamBrokenError(
             endpoint.name, len(sent), exc.__class__.__name__, request.repeatable
         ) from exc
-    return Serving(clock, pool, endpoint, client, reply)
+    return EndpointStream(clock, pool, endpoint, client, reply)
 
 
 def _start_request(request: CompletionRequest, sent: list[str]) -> StartRequest:
--- a/src/guavacleat/streams/messages.py
+++ b/src/guavacleat/streams/messages.py
@@ -1,4 +1,4 @@
-"""Messages of the stream relay."""
+"""Requests, resume points and errors of the stream relay."""
 
 import base64
 import hashlib
@@ -8,19 +8,19 @@
 from guavacleat.quarantine import fingerprint
 from guavacleat.routing.prefix import prefix_blocks
 
-__all__ = ["CompletionRequest", "ResumePoint", "StreamMixupError", "StreamBrokenError"]
+__all__ = ["CompletionRequest", "ResumePoint", "StreamMismatchError", "StreamBrokenError"]
 
-HANDLE_PARTS = 3
-# Blocks of a prompt that routing looks at; beyond them the choice of engine matters little.
-ROUTED_BLOCKS = 64
+HANDLE_FIELDS = 3
+# Leading blocks of a prompt that prefix-cache routing compares.
+MAX_PREFIX_BLOCKS = 64
 
 
 class ResumePoint:
-    """Where a reconnecting caller left off: the stream and the tokens it has received.
+    """Position of a reconnecting caller: its stream and the tokens it has received.
 
-    The caller brings all of it, so any gateway can go on, also one that never saw the stream.
+    The caller supplies all of it, so that any gateway can resume the stream.
 
-    :param received: texts of the tokens the caller has, from index 0.
+    :param received: texts of the tokens the caller has received, from index 0.
     """
 
     __slots__ = ("endpoint", "stream_id", "generation", "received")
@@ -32,32 +32,32 @@
         self.received = list(received)
 
     def handle(self) -> str:
-        """The opaque text a caller keeps; the generation in it cannot be guessed by another."""
+        """Encode the stream as an opaque string; its generation id is not guessable by others."""
         parts = [self.endpoint, self.stream_id, self.generation]
         return base64.urlsafe_b64encode(json.dumps(parts).encode()).decode()
 
     @classmethod
     def from_handle(cls, handle: str, received) -> "ResumePoint":
-        """Raises ValueError if ``handle`` is none that :meth:`handle` made."""
+        """Decode a string returned by :meth:`handle`; raises ValueError if it is malformed."""
         parts = json.loads(base64.urlsafe_b64decode(handle.encode()))
-        if not isinstance(parts, list) or [type(part) for part in parts] != [str] * HANDLE_PARTS:
-            raise ValueError("not a stream handle")
+        if not isinstance(parts, list) or [type(part) for part in parts] != [str] * HANDLE_FIELDS:
+            raise ValueError("malformed stream handle")
         return cls(*parts, received)
 
 
 class CompletionRequest:
-    """One caller's request as the gateway accepted it.
+    """A completion request accepted by the gateway.
 
     :param request_id: unique per arrival at this gateway.
     :param priority: the engine priority of ``priority_class`` (lower is more urgent).
     :param arrival: reactor seconds when the request arrived.
-    :param call: the name of the call's record for its idempotency key, or None without a key.
-    :param repeatable: false if the call may run at most once, so a broken one is not resumed.
-    :param resume: the :class:`ResumePoint` of a caller that reconnects, or None.
-    :param weight: the client account's share of tokens when engines are full.
+    :param call: name of the idempotency record, or None without an idempotency key.
+    :param repeatable: false if the call may run at most once; it is then not resumed elsewhere.
+    :param resume: the :class:`ResumePoint` of a reconnecting caller, or None.
+    :param weight: the client account's weight in fair queueing.
 
-    ``abandoned`` is set once the caller has left; ``prompt_tokens`` is the prompt's length in
-    words, which stand in for the engine's tokens.
+    ``abandoned`` is set once the caller has disconnected. ``prompt_tokens`` estimates the
+    prompt's tokens by its words.
     """
 
     __slots__ = (
@@ -113,30 +113,30 @@
 
     @property
     def content_key(self) -> int:
-        """The same whenever this account asks for the same again, whatever the request's id."""
+        """Hash of the service, client account, token limit and prompt, without the request id."""
         if self._content_key is None:
             asked = (self.service, self.account, str(self.max_tokens), self.prompt)
             self._content_key = fingerprint(*(part.encode() for part in asked))
         return self._content_key
 
     def blocks(self) -> list[str]:
-        """The first blocks of the prompt, as prefix caches name them."""
+        """Ids of the prompt's leading blocks in the prefix cache."""
         if self._blocks is None:
-            self._blocks = prefix_blocks(self.prompt.split(), ROUTED_BLOCKS)
+            self._blocks = prefix_blocks(self.prompt.split(), MAX_PREFIX_BLOCKS)
         return self._blocks
 
     def kind(self) -> tuple[str, int]:
-        """What output lengths are learnt by."""
+        """Key of the output length estimate."""
         return self.service, self.priority
 
     def fingerprint(self) -> str:
-        """Identifies the request's body, so a key reused for another body is noticed."""
+        """Hash of the request body, to detect an idempotency key reused for another body."""
         body = f"{self.service}\0{self.max_tokens}\0{self.prompt}".encode()
         return hashlib.blake2b(body, digest_size=16).hexdigest()
 
 
-class StreamMixupError(GuavacleatError):
-    """A batch came from another generation or another cursor; sending it would mix answers."""
+class StreamMismatchError(GuavacleatError):
+    """A batch has an unexpected generation or first index and was not delivered."""
 
     def __init__(self, expected: str, got: str):
         super().__init__(
@@ -146,7 +146,7 @@
 
 
 class StreamBrokenError(GuavacleatError):
-    """The endpoint serving a stream failed after it may have started it."""
+    """An endpoint failed after it had, or may have, started the stream."""
 
     def __init__(self, endpoint: str, sent: int, detail: str, repeatable: bool = True):
         remedy = "send the request again; the tokens already sent were correct."
--- a/src/guavacleat/streams/relay.py
+++ b/src/guavacleat/streams/relay.py
@@ -1,17 +1,16 @@
-"""Starts a generation on an endpoint and pulls its tokens by cursor to a sink.
+"""Starts a generation on an endpoint and pulls its tokens by cursor into a sink.
 
-Pulls are idempotent reads "tokens from index N", so a token is delivered at most once and in
-order; a batch whose generation or first index differs from what the relay expects is refused
-(:class:`StreamMixupError`) before anything of it reaches the caller.
+A pull is an idempotent read of the tokens from index N. Tokens are delivered in order and at
+most once: a batch with an unexpected generation or first index raises
+:class:`StreamMismatchError` before any of its tokens are delivered.
 
-A pull that fails is read once more over a new link (it is idempotent). If the endpoint still
-fails (the engine died, was reclaimed, or the link stalled), the relay starts the request on
-another live endpoint with the tokens already sent as ``resume_tokens``; that engine prefills
-them and continues from the same cursor, so the caller sees one answer, each token once, in
-order. Only the batches of the endpoint currently serving are accepted.
+A pull that fails on a connection error is retried once over a new connection. If the endpoint
+still fails, the relay starts the request on another endpoint, with the tokens already sent as
+``resume_tokens``; that engine prefills them and continues from the same cursor. Only batches of
+the current endpoint are accepted.
 
-A call that may not be repeated is never started on a second endpoint once a start may have
-reached the first.
+A non-repeatable call is never started on a second endpoint once a start may have reached the
+first.
 """
 
 from eliot import log_message
@@ -22,20 +21,20 @@
 from guavacleat.errors import NotRunError
 from guavacleat.protocol.gen.sidecar.ttypes import NotRun, StartReply
 from guavacleat.quarantine import CrashTracker, Liveness, QuarantineGuard, QuarantineState
-from guavacleat.streams.messages import CompletionRequest, StreamBrokenError, StreamMixupError
-from guavacleat.streams.serving import Serving, bounded, start_on
+from guavacleat.streams.endpoint_stream import EndpointStream, call_with_timeout, start_stream
+from guavacleat.streams.messages import CompletionRequest, StreamBrokenError, StreamMismatchError
 
 __all__ = ["CALLER_LEFT", "MAX_RESUMES", "Relay", "START_ATTEMPTS", "StreamProgress"]
 
 START_ATTEMPTS = 3
-UNREACHABLE_SECONDS = 1.0
-FINISHED = "stop"
+UNREACHABLE_AVOID_SECONDS = 1.0
+FINISH_REASON_STOP = "stop"
 MAX_RESUMES = 3
 CALLER_LEFT = "caller_left"
 
 
 class StreamProgress:
-    """What the caller has received: every token text, when the last was sent, how it ended."""
+    """Progress of a stream: token texts sent, time of the last one, and finish reason."""
 
     __slots__ = ("sent", "last_sent_at", "finish_reason")
 
@@ -46,9 +45,9 @@
 
 
 class Relay:
-    """Relays streams for one gateway.
+    """Relays the streams of one gateway.
 
-    :param clock: the reactor's time.
+    :param clock: reactor time.
     :param membership: a ``MembershipView``.
     :param dispatcher: a ``Dispatcher``.
     :param pool: a ``SidecarPool``.
@@ -68,62 +67,65 @@
 
     @defer.inlineCallbacks
     def run(self, request: CompletionRequest, limits, sink, before_start=None):
-        """Deliver every token to ``sink.token(index, text)``, then ``sink.end(reason)``.
+        """Run ``request`` and deliver its tokens to ``sink``.
 
-        Fires with the :class:`StreamProgress` of the finished stream. A repeatable stream whose
-        caller has gone (``sink.gone``) is no longer pulled and finishes as ``CALLER_LEFT``.
-        ``before_start()`` is called, and its Deferred waited for, once an endpoint has been
-        found and before the first start is sent.
+        Calls ``sink.set_handle(handle)`` whenever the stream starts on an endpoint,
+        ``sink.token(index, text)`` for each token, then ``sink.end(reason)``. Fires with the
+        :class:`StreamProgress` of the finished stream. If the caller disconnects
+        (``sink.gone``), a repeatable stream is no longer pulled and finishes as ``CALLER_LEFT``.
+
+        :param before_start: called once an endpoint has been acquired; the first start is sent
+            after its Deferred has fired.
 
         Raises NotRunError if no endpoint can have started the generation, StreamBrokenError if
-        it broke and no endpoint could resume it, StreamMixupError if a batch did not fit.
+        it failed and no endpoint could resume it, StreamMismatchError on an unexpected batch.
         """
         progress = StreamProgress(request.arrival)
         tried: set[str] = set()
         failure = None
-        serving = yield self._reattach(request, progress)
+        stream = yield self._reattach(request, progress)
         for _ in range(MAX_RESUMES + 1):
             try:
-                if serving is None:
+                if stream is None:
                     self._check_quarantine(request)
-                    serving = yield self._start(request, limits, tried, progress, before_start)
+                    stream = yield self._start(request, limits, tried, progress, before_start)
             except NotRunError:
                 if failure is None:
                     raise
                 break
             before_start = None
             self.resumes += failure is not None
-            sink.set_handle(serving.handle())
+            sink.set_handle(stream.handle())
             try:
-                yield self._pull_all(request, serving, sink, progress)
-                if progress.finish_reason == FINISHED:
+                yield self._pull_all(request, stream, sink, progress)
+                if progress.finish_reason == FINISH_REASON_STOP:
                     self.quarantine.request_completed(request)
                 return progress
             except StreamBrokenError as broken:
                 failure = broken
-                tried.add(serving.endpoint.name)
-                self._note_broken(request, serving.endpoint.name, broken, serving.began)
-                serving.cancel_quietly()
+                tried.add(stream.endpoint.name)
+                self._report_interruption(request, stream.endpoint.name, broken, stream.started_at)
+                stream.cancel_best_effort()
             finally:
                 self.quarantine.run_finished(request)
-                self._release(serving.endpoint, request, progress)
-                serving = None
+                self._release(stream.endpoint, request, progress)
+                stream = None
             if not request.repeatable:
                 break
         raise failure
 
     def _check_quarantine(self, request: CompletionRequest) -> None:
-        """Raise NotRunError if the request must not run now."""
+        """Raise NotRunError if the request is quarantined."""
         status = self.quarantine.status(request)
         if status.state is QuarantineState.REFUSED:
             raise NotRunError(
-                f"{status.crashes:g} endpoints ended under requests like this one.",
+                f"{status.crashes:g} endpoints failed while running requests like this one.",
                 f"retry after {status.retry_after:.1f} s, or change the request.",
                 status.retry_after,
             )
 
-    def _busier(self, request: CompletionRequest) -> set[str]:
-        """Endpoints on which more runs than on others: none to be risked by a suspect."""
+    def _busier_endpoints(self, request: CompletionRequest) -> set[str]:
+        """Endpoints that a request under suspicion avoids: all but the least loaded ones."""
         if self.quarantine.is_unrestricted(request):
             return set()
         running = self.router.in_flight_by_name
@@ -133,36 +135,38 @@
 
     @defer.inlineCallbacks
     def _probe(self, name: str):
-        """Fire with the :class:`Liveness` of an endpoint: its sidecar asks the engine."""
+        """Fire with the :class:`Liveness` of an endpoint, from a load request to its sidecar."""
         record = self.membership.records_by_name.get(name)
         if record is None or record.draining:
             return Liveness.ALIVE
         try:
             client = yield self.pool.client(record.address)
-            yield bounded(self.clock, client.load)
+            yield call_with_timeout(self.clock, client.load)
         except (TApplicationException, ConnectionRefusedError):
-            # The sidecar's engine does not answer, or there is no sidecar.
+            # The engine does not respond, or the sidecar is not running.
             return Liveness.ENDED
-        except Exception as exc:  # noqa: BLE001 - any other failure of the link
+        except Exception as exc:  # noqa: BLE001 - any other connection error
             log_message(message_type="endpoint:unknown", endpoint=name, error=repr(exc))
             return Liveness.UNKNOWN
         return Liveness.ALIVE
 
-    def _note_broken(self, request, name: str, broken: StreamBrokenError, began: float) -> None:
-        """Tell of a stream that broke off; one that stalled says nothing of the endpoint's end."""
+    def _report_interruption(
+        self, request, name: str, broken: StreamBrokenError, started_at: float
+    ) -> None:
+        """Report an interrupted stream to the quarantine, unless it only timed out."""
         if not isinstance(broken.__cause__, defer.TimeoutError):
-            self.quarantine.request_interrupted(request, name, began)
+            self.quarantine.request_interrupted(request, name, started_at)
 
     def _release(self, endpoint, request: CompletionRequest, progress: StreamProgress) -> None:
-        finished = progress.finish_reason == FINISHED
+        finished = progress.finish_reason == FINISH_REASON_STOP
         self.dispatcher.release(endpoint.name, request, len(progress.sent), finished)
 
     @defer.inlineCallbacks
     def _reattach(self, request: CompletionRequest, progress: StreamProgress):
-        """Go on reading a reconnecting caller's stream where it runs, if it still does.
+        """Reattach a reconnecting caller to its stream if that is still running.
 
-        Fires with a :class:`Serving`, or None if there is none: the request then starts
-        elsewhere with the tokens the caller has, like a stream whose endpoint died.
+        Fires with an :class:`EndpointStream`, or None if the stream cannot be read; the request
+        is then resumed elsewhere with the tokens the caller has received.
         """
         point = request.resume
         if point is None:
@@ -174,89 +178,91 @@
         try:
             client = yield self.pool.client(record.address)
             cursor = len(progress.sent)
-            probe = yield bounded(self.clock, client.pull, point.stream_id, cursor, 0)
-        except Exception:  # noqa: BLE001 - the stream cannot be read there any more
+            probe = yield call_with_timeout(self.clock, client.pull, point.stream_id, cursor, 0)
+        except Exception:  # noqa: BLE001 - the stream cannot be read there
             return None
         if probe.generation != point.generation:
             return None
         self.router.begin(record.name)
         reply = StartReply(point.stream_id, point.generation)
-        return Serving(self.clock, self.pool, record, client, reply)
+        return EndpointStream(self.clock, self.pool, record, client, reply)
 
     @defer.inlineCallbacks
     def _start(self, request, limits, tried: set[str], progress, before_start):
-        """Fire with a :class:`Serving`, its endpoint counted in flight."""
+        """Fire with an :class:`EndpointStream` whose endpoint counts it as in flight."""
         deadline = self.clock.seconds() + limits.max_wait
-        front = bool(progress.sent)
-        unknown = None
+        at_front = bool(progress.sent)
+        unknown_outcome = None
         while len(tried) < START_ATTEMPTS + MAX_RESUMES:
             try:
-                avoided = tried | self._busier(request)
-                endpoint = yield self.dispatcher.acquire(request, limits, avoided, front, deadline)
+                avoided = tried | self._busier_endpoints(request)
+                endpoint = yield self.dispatcher.acquire(
+                    request, limits, avoided, at_front, deadline
+                )
             except NotRunError:
-                # An earlier start may have arrived, so "not run" would not be true.
-                if unknown is None:
+                # An earlier start may have reached its endpoint, so the request may have run.
+                if unknown_outcome is None:
                     raise
                 break
-            front = True
-            serving = None
-            began = self.clock.seconds()
+            at_front = True
+            stream = None
+            started_at = self.clock.seconds()
             try:
                 if before_start is not None:
                     yield before_start()
                     before_start = None
-                serving = yield self._start_on(endpoint, request, progress, tried)
+                stream = yield self._try_start(endpoint, request, progress, tried)
             except StreamBrokenError as broken:
-                unknown = broken
-                self._note_broken(request, endpoint.name, broken, began)
+                unknown_outcome = broken
+                self._report_interruption(request, endpoint.name, broken, started_at)
                 if not request.repeatable or not self.quarantine.is_unrestricted(request):
                     break
             finally:
-                if serving is None:
+                if stream is None:
                     self._release(endpoint, request, progress)
-            if serving is not None:
-                return serving
-        raise unknown or self.dispatcher.refusal(request, limits)
+            if stream is not None:
+                return stream
+        raise unknown_outcome or self.dispatcher.refusal(request, limits)
 
     @defer.inlineCallbacks
-    def _start_on(self, endpoint, request, progress: StreamProgress, tried: set[str]):
-        """Fire with a :class:`Serving`, or None if ``endpoint`` refused without running it.
+    def _try_start(self, endpoint, request, progress: StreamProgress, tried: set[str]):
+        """Fire with an :class:`EndpointStream`, or None if ``endpoint`` did not run the request.
 
-        Raises StreamBrokenError if the answer was lost: the endpoint may be running it. Starting
-        it elsewhere would run a non-repeatable call twice; a repeatable one is safe, since nobody
-        reads the first generation and its sidecar cancels streams left unread.
+        Raises StreamBrokenError if the reply was lost, so that the endpoint may be running the
+        request. Only a repeatable request may then start elsewhere: the sidecar cancels the
+        first generation as idle.
         """
         self.quarantine.request_sent(request, endpoint.name)
         try:
-            serving = yield start_on(self.clock, self.pool, endpoint, request, progress.sent)
+            stream = yield start_stream(self.clock, self.pool, endpoint, request, progress.sent)
         except NotRun as refused:
             self.router.avoid(endpoint.name, refused.retry_after_ms / 1000)
             if not refused.full:
                 tried.add(endpoint.name)
             return None
         except ConnectError:
-            self.router.avoid(endpoint.name, UNREACHABLE_SECONDS)
+            self.router.avoid(endpoint.name, UNREACHABLE_AVOID_SECONDS)
             tried.add(endpoint.name)
             return None
         except StreamBrokenError:
             tried.add(endpoint.name)
             raise
-        if serving.reply.occupancy is not None:
-            self.router.observe(endpoint.name, serving.reply.occupancy, request)
-        return serving
+        if stream.reply.occupancy is not None:
+            self.router.observe(endpoint.name, stream.reply.occupancy, request)
+        return stream
 
     @defer.inlineCallbacks
-    def _pull_all(self, request, serving, sink, progress: StreamProgress):
+    def _pull_all(self, request, stream, sink, progress: StreamProgress):
         while True:
             cursor = len(progress.sent)
-            batch = yield serving.pull(request, cursor)
-            expected = serving.reply.generation
+            batch = yield stream.pull(request, cursor)
+            expected = stream.reply.generation
             if batch.generation != expected or batch.first_index != cursor:
-                raise StreamMixupError(
+                raise StreamMismatchError(
                     f"{expected}@{cursor}", f"{batch.generation}@{batch.first_index}"
                 )
             if batch.occupancy is not None:
-                self.router.observe(serving.endpoint.name, batch.occupancy)
+                self.router.observe(stream.endpoint.name, batch.occupancy)
             for text in batch.tokens:
                 self._send(request, sink, progress, text)
             if batch.finished:
@@ -265,8 +271,8 @@
                 sink.end(batch.finish_reason)
                 return
             if sink.gone and request.repeatable:
-                # Left unpulled, the stream stays readable for a reconnecting caller until its
-                # sidecar cancels it as idle; pulling on would only fill the engine.
+                # The stream stays readable for a reconnecting caller until its sidecar cancels
+                # it as idle.
                 progress.finish_reason = CALLER_LEFT
                 return
 
--- a/tests/streams/test_relay.py
+++ b/tests/streams/test_relay.py
@@ -1,4 +1,4 @@
-"""Contract of the relay against fake sidecars, with the sidecar's faults in a table."""
+"""The stream relay against fake sidecars that fail in the ways listed in the tables."""
 
 import pytest
 from twisted.internet import defer
@@ -10,16 +10,16 @@
 from guavacleat.metrics import StreamMetrics
 from guavacleat.protocol.gen.sidecar.ttypes import NotRun, StartReply, TokenBatch, UnknownStream
 from guavacleat.routing import get_router_by_name
-from guavacleat.streams import CompletionRequest, Relay, StreamMixupError
+from guavacleat.streams import CompletionRequest, Relay, StreamMismatchError
+from guavacleat.streams.endpoint_stream import START_TIMEOUT_SECONDS
 from guavacleat.streams.messages import ResumePoint, StreamBrokenError
-from guavacleat.streams.serving import START_TIMEOUT
 from tests.conftest import result_of
 
 LIMITS = Limits(queue_per_account=4, in_flight_per_endpoint=2, retry_after=1.5)
 
 
 class FakeSidecar:
-    """Answers ``start`` from ``start_outcome`` and ``pull`` from a list of batches or errors."""
+    """Replies to ``start`` with ``start_outcome``, to ``pull`` from a list of batches or errors."""
 
     def __init__(self, name, batches, start_outcome=None):
         self.name = name
@@ -102,21 +102,17 @@
 
 
 PULL_FAULTS = [
-    # (batches the sidecar answers, error the relay must raise, tokens sent before it)
-    ([batch("g-other", 0, ["x"])], StreamMixupError, 0),
-    ([batch("g-a", 0, ["x"]), batch("g-a", 0, ["x"])], StreamMixupError, 1),
-    ([batch("g-a", 0, ["x"]), batch("g-a", 3, ["w"])], StreamMixupError, 1),
+    # (replies to pulls, error the relay must raise, tokens sent before it)
+    ([batch("g-other", 0, ["x"])], StreamMismatchError, 0),
+    ([batch("g-a", 0, ["x"]), batch("g-a", 0, ["x"])], StreamMismatchError, 1),
+    ([batch("g-a", 0, ["x"]), batch("g-a", 3, ["w"])], StreamMismatchError, 1),
     ([batch("g-a", 0, ["x"]), ConnectionResetError()], StreamBrokenError, 1),
 ]
 
 
 @pytest.mark.parametrize("batches,error,sent", PULL_FAULTS)
-def test_pull_fault_stops_before_a_wrong_token(clock, batches, error, sent):
-    """
-    Symptom: a caller could see a token twice, skipped, or from another request's generation.
-    Sequence: the sidecar answers a pull with a crossed, replayed, skipping or failed batch.
-    Cause: a relay that trusted batches blindly would forward them; it must check each.
-    """
+def test_pull_fault_fails_the_stream_before_a_wrong_token(clock, batches, error, sent):
+    """Guards against delivering repeated, skipped or another request's tokens."""
     sink = ListSink()
     relay = make_relay(clock, [FakeSidecar("a", batches)])
     with pytest.raises(error):
@@ -124,20 +120,16 @@
     assert len(sink.tokens) == sent
 
 
-def test_not_run_on_one_endpoint_moves_to_the_next(clock):
+def test_refused_start_is_retried_on_another_endpoint(clock):
     refusing = FakeSidecar("a", [], start_outcome=NotRun("draining", 200))
-    serving = FakeSidecar("b", [batch("g-b", 0, ["x"], True)])
+    healthy = FakeSidecar("b", [batch("g-b", 0, ["x"], True)])
     sink = ListSink()
-    result_of(make_relay(clock, [refusing, serving]).run(request(clock), LIMITS, sink))
-    assert sink.tokens == [(0, "x")] and refusing.started + serving.started == 2
+    result_of(make_relay(clock, [refusing, healthy]).run(request(clock), LIMITS, sink))
+    assert sink.tokens == [(0, "x")] and refusing.started + healthy.started == 2
 
 
 def test_all_endpoints_refusing_is_not_run_with_retry_after(clock):
-    """
-    Symptom: a caller waits with no answer when every endpoint is leaving.
-    Sequence: both endpoints refuse to start the request as not run.
-    Cause: the refusal must reach the caller at once, with when to come back.
-    """
+    """Guards against a caller that waits although every endpoint has refused the request."""
     refusing = [FakeSidecar(n, [], start_outcome=NotRun("draining", 200)) for n in "ab"]
     with pytest.raises(NotRunError) as caught:
         result_of(make_relay(clock, refusing).run(request(clock), LIMITS, ListSink()))
@@ -145,48 +137,39 @@
 
 
 class ResumingSidecar(FakeSidecar):
-    """Serves a resumed generation: expects the tokens already sent, continues after them."""
+    """Records the resume tokens of the last start."""
 
     def __init__(self, name, batches, expected_resume):
         super().__init__(name, batches)
         self.expected_resume = expected_resume
-        self.resume_seen = None
+        self.received_resume_tokens = None
 
     def start(self, request):
-        self.resume_seen = list(request.resume_tokens or [])
+        self.received_resume_tokens = list(request.resume_tokens or [])
         return super().start(request)
 
 
-def test_endpoint_dying_mid_stream_resumes_elsewhere_once_in_order(clock):
-    """
-    Symptom: a caller's summary stops halfway with an error when its engine dies.
-    Sequence: endpoint a sends tokens 0-1, then its link resets; endpoint b is live.
-    Cause: the relay gave up on the first link failure instead of re-prefilling elsewhere
-    with the tokens already sent and continuing from the cursor.
-    """
-    dying = FakeSidecar("a", [batch("g-a", 0, ["x", "y"]), ConnectionResetError()])
-    taking_over = ResumingSidecar("b", [batch("g-b", 2, ["z", "w"], True)], ["x", "y"])
+def test_failed_stream_is_resumed_on_another_endpoint(clock):
+    """Guards against failing a stream that another endpoint could resume."""
+    failing = FakeSidecar("a", [batch("g-a", 0, ["x", "y"]), ConnectionResetError()])
+    replacement = ResumingSidecar("b", [batch("g-b", 2, ["z", "w"], True)], ["x", "y"])
     sink = ListSink()
-    result_of(make_relay(clock, [dying, taking_over]).run(request(clock), LIMITS, sink))
+    result_of(make_relay(clock, [failing, replacement]).run(request(clock), LIMITS, sink))
     assert sink.tokens == [(0, "x"), (1, "y"), (2, "z"), (3, "w")]
-    assert taking_over.resume_seen == ["x", "y"] and sink.reason == "stop"
+    assert replacement.received_resume_tokens == ["x", "y"] and sink.reason == "stop"
 
 
-RUNS_TWICE = [
-    # (first sidecar's start outcome, its pulls): in each the call may have run there.
+UNKNOWN_OUTCOMES = [
+    # (outcome of the start, replies to pulls); in each case the call may have run.
     (None, [ConnectionResetError(), ConnectionResetError()]),
     (None, [batch("g-a", 0, ["x"]), ConnectionResetError(), ConnectionResetError()]),
     (ConnectionResetError(), []),
 ]
 
 
-@pytest.mark.parametrize("start_outcome,pulls", RUNS_TWICE)
+@pytest.mark.parametrize("start_outcome,pulls", UNKNOWN_OUTCOMES)
 def test_non_repeatable_call_never_starts_on_a_second_endpoint(clock, start_outcome, pulls):
-    """
-    Symptom: a connection record is written twice and a subscriber is charged twice.
-    Sequence: the call reaches endpoint a; its start or pull is cut; endpoint b is live.
-    Cause: the relay resumed every broken stream elsewhere, which runs the call again.
-    """
+    """Guards against running a non-repeatable call twice after a lost reply."""
     first = FakeSidecar("a", pulls, start_outcome=start_outcome)
     second = FakeSidecar("b", pulls, start_outcome=start_outcome)
     relay = make_relay(clock, [first, second])
@@ -195,58 +178,42 @@
     assert first.started + second.started == 1
 
 
-def test_lost_start_answer_is_never_reported_as_not_run(clock):
-    """
-    Symptom: a lookup refused as "not run" shows up as run in the engine's log.
-    Sequence: every endpoint takes the start and its answer is lost.
-    Cause: the relay treated "nobody left to try" as not run although a start may have arrived.
-    """
-    cut = [FakeSidecar(n, [], start_outcome=ConnectionResetError()) for n in "ab"]
+def test_lost_start_reply_is_not_reported_as_not_run(clock):
+    """Guards against a NotRunError for a request that an endpoint may have started."""
+    sidecars = [FakeSidecar(n, [], start_outcome=ConnectionResetError()) for n in "ab"]
     with pytest.raises(StreamBrokenError):
-        result_of(make_relay(clock, cut).run(request(clock), LIMITS, ListSink()))
-    assert [sidecar.started for sidecar in cut] == [1, 1]
+        result_of(make_relay(clock, sidecars).run(request(clock), LIMITS, ListSink()))
+    assert [sidecar.started for sidecar in sidecars] == [1, 1]
 
 
-def test_link_cut_on_a_pull_is_read_again_from_the_same_endpoint(clock):
-    """
-    Symptom: a moment's link cut costs a whole prefill on another engine.
-    Sequence: endpoint a sends tokens 0-1; its link resets once; a is well again at once.
-    Cause: a pull by cursor is idempotent, so it can be repeated before giving a up.
-    """
+def test_failed_pull_is_retried_on_the_same_endpoint(clock):
+    """Guards against a needless prefill on another engine after a single connection reset."""
     pulls = [batch("g-a", 0, ["x", "y"]), ConnectionResetError(), batch("g-a", 2, ["z"], True)]
-    serving, spare = FakeSidecar("a", pulls), FakeSidecar("b", [])
+    recovering, spare = FakeSidecar("a", pulls), FakeSidecar("b", [])
     sink = ListSink()
-    relay = make_relay(clock, [serving, spare])
+    relay = make_relay(clock, [recovering, spare])
     relay.router.begin("b")
     result_of(relay.run(request(clock), LIMITS, sink))
     assert [text for _, text in sink.tokens] == ["x", "y", "z"]
-    assert (serving.started, spare.started) == (1, 0)
-
-
-def test_silent_start_moves_on_after_its_timeout(clock):
-    """
-    Symptom: a caller on hold hears silence until it hangs up.
-    Sequence: the chosen sidecar is frozen and never answers the start; another one is well.
-    Cause: the start had no timeout, so the relay waited on the frozen sidecar forever.
-    """
-    frozen = FakeSidecar("a", [])
-    frozen.start = lambda request: defer.Deferred()
-    serving = FakeSidecar("b", [batch("g-b", 0, ["x"], True)])
+    assert (recovering.started, spare.started) == (1, 0)
+
+
+def test_start_timeout_is_followed_by_another_endpoint(clock):
+    """Guards against waiting without limit for a sidecar that does not reply to a start."""
+    unresponsive = FakeSidecar("a", [])
+    unresponsive.start = lambda request: defer.Deferred()
+    healthy = FakeSidecar("b", [batch("g-b", 0, ["x"], True)])
     sink = ListSink()
-    relay = make_relay(clock, [frozen, serving])
+    relay = make_relay(clock, [unresponsive, healthy])
     relay.router.begin("b")
     running = relay.run(request(clock), LIMITS, sink)
-    clock.advance(START_TIMEOUT)
+    clock.advance(START_TIMEOUT_SECONDS)
     result_of(running)
     assert sink.tokens == [(0, "x")]
 
 
-def test_caller_gone_stops_pulling_a_repeatable_stream(clock):
-    """
-    Symptom: engines fill up with answers nobody reads after callers hang up.
-    Sequence: the caller leaves after the first batch; the engine would go on for long.
-    Cause: the relay pulled to the end whether or not anybody was listening.
-    """
+def test_repeatable_stream_is_not_pulled_after_a_disconnect(clock):
+    """Guards against generating tokens for a caller that has disconnected."""
     sidecar = FakeSidecar("a", [batch("g-a", 0, ["x"]), batch("g-a", 1, ["y"], True)])
     sink = ListSink()
     sink.token = lambda index, text: setattr(sink, "gone", True)
@@ -255,7 +222,7 @@
 
 
 RECONNECTS = [
-    # (the old endpoint's answer to the reconnecting pull, endpoint that must serve the rest)
+    # (the old endpoint's replies to pulls, endpoint that must serve the rest)
     ([batch("g-a", 2, []), batch("g-a", 2, ["z"], True)], "a"),
     ([UnknownStream("s-a")], "b"),
     ([ConnectionResetError()], "b"),
@@ -264,13 +231,8 @@
 
 
 @pytest.mark.parametrize("old_answers,served_by", RECONNECTS)
-def test_reconnecting_caller_goes_on_from_its_last_token(clock, old_answers, served_by):
-    """
-    Symptom: an agent whose gateway died gets the summary again from the start, or another's.
-    Sequence: the caller has tokens 0-1 and reconnects to a gateway that never saw the stream;
-    the old endpoint still has it, has lost it, is gone, or gave the id to another caller.
-    Cause: stream progress lived only in the memory of the gateway that died.
-    """
+def test_reconnecting_caller_resumes_after_its_last_token(clock, old_answers, served_by):
+    """Guards against repeated tokens, or another caller's tokens, after a reconnect."""
     old = FakeSidecar("a", old_answers)
     spare = ResumingSidecar("b", [batch("g-b", 2, ["z"], True)], ["x", "y"])
     relay = make_relay(clock, [old, spare])
@@ -279,5 +241,5 @@
     sink = ListSink()
     result_of(relay.run(request(clock, resume=point), LIMITS, sink))
     assert sink.tokens == [(2, "z")] and sink.reason == "stop"
-    assert (spare.resume_seen == ["x", "y"]) is (served_by == "b")
+    assert (spare.received_resume_tokens == ["x", "y"]) is (served_by == "b")
     assert ResumePoint.from_handle(sink.handle, []).endpoint == served_by
--- a/tests/streams/test_relay_machine.py
+++ b/tests/streams/test_relay_machine.py
@@ -1,9 +1,8 @@
-"""A hypothesis state machine driving the relay through random faults, checked by history.
+"""Hypothesis state machine that drives the relay through random faults.
 
-Rules make tokens available, reset the serving link, stall a pull past its timeout, and add
-endpoints; the invariants are :func:`guavacleat.checks.check_stream` over what the caller got,
-and the whole answer: a stream fails only after every endpoint present was tried.
-Seeds are fixed by hypothesis's database-free settings below, so CI gives the same verdict.
+Rules make tokens available, reset the current connection, stall a pull past its timeout, and add
+endpoints. Invariants: :func:`guavacleat.checks.check_stream` on the tokens the caller received,
+and a stream fails only after every endpoint has been tried.
 """
 
 from hypothesis import settings
@@ -22,8 +21,8 @@
 from guavacleat.protocol.gen.sidecar.ttypes import StartReply, TokenBatch
 from guavacleat.routing import get_router_by_name
 from guavacleat.streams import CompletionRequest, Relay
+from guavacleat.streams.endpoint_stream import PULL_TIMEOUT_MARGIN_SECONDS, PULL_WAIT_MS
 from guavacleat.streams.relay import MAX_RESUMES
-from guavacleat.streams.serving import PULL_TIMEOUT_MARGIN, PULL_WAIT_MS
 from tests.conftest import examples
 
 LIMITS = Limits(queue_per_account=4, in_flight_per_endpoint=4, retry_after=1.0)
@@ -31,7 +30,7 @@
 
 
 class Endpoint:
-    """A fake sidecar whose pulls wait until the machine answers, fails or stalls them."""
+    """A fake sidecar whose pulls stay pending until a rule answers, fails or stalls them."""
 
     def __init__(self, machine, name):
         self.machine = machine
@@ -56,7 +55,7 @@
         return defer.succeed(None)
 
     def load(self):
-        """The endpoint lives, whatever its link does."""
+        """Succeed: the endpoint is alive even if its connection fails."""
         return defer.succeed(None)
 
 
@@ -122,10 +121,10 @@
 
     @rule()
     def pull_stalls(self):
-        """The serving pull gets no answer past its timeout; heartbeats still arrive each second."""
+        """The pending pull times out; heartbeats continue every HEARTBEAT_SECONDS."""
         if self._pending() is None:
             return
-        stall = PULL_WAIT_MS / 1000 + PULL_TIMEOUT_MARGIN + 0.01
+        stall = PULL_WAIT_MS / 1000 + PULL_TIMEOUT_MARGIN_SECONDS + 0.01
         for _ in range(int(stall // HEARTBEAT_SECONDS)):
             self.clock.advance(HEARTBEAT_SECONDS)
             self._heartbeat()
@@ -149,8 +148,7 @@
         if not self.outcome:
             return
         if isinstance(self.outcome[0], Failure):
-            # The whole answer: a stream may end in failure only once every endpoint present
-            # was tried or the resume budget is spent.
+            # A stream may fail only after every endpoint was tried or MAX_RESUMES was reached.
             attempts = len(self.resumes_by_attempt)
             assert attempts >= min(self.endpoints_at_end, MAX_RESUMES + 1), (attempts, found)
         else:
--- a/tests/streams/test_relay_quarantine.py
+++ b/tests/streams/test_relay_quarantine.py
@@ -1,4 +1,4 @@
-"""The completions interface and requests that crash the engines that run them."""
+"""Quarantine of requests that crash engines, in the stream relay."""
 
 import pytest
 from thrift.Thrift import TApplicationException
@@ -10,12 +10,12 @@
 from guavacleat.streams.messages import StreamBrokenError
 from tests.streams.test_relay import LIMITS, ListSink, batch, make_relay
 
-NAMES = "abcdef"
-COMES_BACK_SECONDS = 1.0
+SIDECAR_NAMES = "abcdef"
+RESTART_SECONDS = 1.0
 
 
-class Sidecar:
-    """Its engine crashes under prompts that begin with ``crash``, and is back when asked again."""
+class CrashingSidecar:
+    """A sidecar whose engine crashes on prompts that start with ``crash`` and restarts at once."""
 
     def __init__(self, name):
         self.name = name
@@ -40,7 +40,7 @@
         return defer.succeed(None)
 
 
-def ask(clock, relay, prompt, repeatable=True, call=None, id="r"):
+def run_request(clock, relay, prompt, repeatable=True, call=None, id="r"):
     request = CompletionRequest(
         id, "enquiry-lm", "acc", "interactive", 0, prompt, 10, call, clock.seconds(), repeatable
     )
@@ -50,16 +50,16 @@
 
 
 @pytest.mark.parametrize("repeatable,call", [(True, None), (True, "k1"), (False, "k2")])
-def test_a_prompt_that_crashes_engines_is_refused_after_the_third(clock, repeatable, call):
-    """Guards against callers' retries, new ids and new keys that end engine after engine."""
-    sidecars = [Sidecar(name) for name in NAMES]
+def test_crashing_prompt_is_refused_after_three_crashes(clock, repeatable, call):
+    """Guards against retries that crash further engines, also with new ids or idempotency keys."""
+    sidecars = [CrashingSidecar(name) for name in SIDECAR_NAMES]
     relay = make_relay(clock, sidecars)
     outcomes = []
     for number in range(8):
         key = call and f"{call}-{number}"
-        outcomes.append(ask(clock, relay, "crash", repeatable, key, f"r{number}"))
+        outcomes.append(run_request(clock, relay, "crash", repeatable, key, f"r{number}"))
         clock.advance(0.1)
-        assert ask(clock, relay, f"sound {number}").sent == ["x"]
+        assert run_request(clock, relay, f"sound {number}").sent == ["x"]
     assert sum(sidecar.crashes for sidecar in sidecars) == 3
     assert outcomes[0].check(StreamBrokenError)
     assert outcomes[-1].check(NotRunError)
@@ -67,11 +67,11 @@
     assert "requests like this one" in str(outcomes[-1].value)
 
 
-def test_another_accounts_prompt_of_the_same_words_is_served(clock):
-    sidecars = [Sidecar(name) for name in NAMES]
+def test_same_prompt_of_another_account_is_not_quarantined(clock):
+    sidecars = [CrashingSidecar(name) for name in SIDECAR_NAMES]
     relay = make_relay(clock, sidecars)
     for number in range(4):
-        ask(clock, relay, "crash", id=f"r{number}")
+        run_request(clock, relay, "crash", id=f"r{number}")
     other = CompletionRequest(
         "r9", "enquiry-lm", "other", "interactive", 0, "crash", 10, None, clock.seconds()
     )
