--- a/src/guavacleat/logs.py
+++ b/src/guavacleat/logs.py
@@ -1,8 +1,8 @@
-"""Structured log lines on a descriptor that may stop taking them.
+"""Non-blocking structured logging to a file descriptor.
 
-Lines are eliot's JSON messages. A reader that stalls must not stall the process: what does not fit
-the pipe at once is dropped and counted, and so is what exceeds the volume per second. A line that
-says how many were left out follows as soon as there is room.
+Lines are eliot's JSON messages. A line that does not fit into the pipe or exceeds the rate limit is
+dropped, so that a stalled reader cannot block the process. The number of dropped lines is logged as
+soon as there is room.
 """
 
 import fcntl
@@ -14,12 +14,10 @@
 
 __all__ = ["BoundedLog", "log_to_descriptor"]
 
-# Lines a second: a gateway writes two a request, and is asked some 60 times a second at most in
-# one core's share.
 LINES_PER_SECOND = 400
-# Lines that say that something went wrong may use this many more.
-FAILURE_RESERVE = 200
-ROUTINE = ("request:end", "move:done")
+# Additional lines per second for failures.
+FAILURE_LINES_PER_SECOND = 200
+ROUTINE_MESSAGE_TYPES = ("request:end", "move:done")
 
 
 class BoundedLog:
@@ -29,61 +27,61 @@
         self.descriptor = descriptor
         self.seconds = seconds
         self.lines_per_second = lines_per_second
-        self.second = -1
-        self.written = 0
-        self.left_out = 0
-        self.partial = b""
+        self.current_second = -1
+        self.lines_this_second = 0
+        self.dropped_lines = 0
+        self.unsent = b""
         flags = fcntl.fcntl(descriptor, fcntl.F_GETFL)
         fcntl.fcntl(descriptor, fcntl.F_SETFL, flags | os.O_NONBLOCK)
 
     def __call__(self, message: dict) -> None:
         now = int(self.seconds())
-        if now != self.second:
-            self.second, self.written = now, 0
-        if self.written >= self._bound(message) or not self._flush_partial():
-            self.left_out += 1
+        if now != self.current_second:
+            self.current_second, self.lines_this_second = now, 0
+        if self.lines_this_second >= self._rate_limit(message) or not self._flush_unsent():
+            self.dropped_lines += 1
             return
-        if self.left_out:
-            left_out, self.left_out = self.left_out, 0
-            self._write({"message_type": "log:left-out", "lines": left_out})
+        if self.dropped_lines:
+            dropped_lines, self.dropped_lines = self.dropped_lines, 0
+            self._write({"message_type": "log:left-out", "lines": dropped_lines})
         self._write(message)
 
-    def _bound(self, message: dict) -> int:
-        if message.get("message_type") in ROUTINE and message.get("outcome") in (
+    def _rate_limit(self, message: dict) -> int:
+        if message.get("message_type") in ROUTINE_MESSAGE_TYPES and message.get("outcome") in (
             "ANSWERED",
             "moved",
         ):
             return self.lines_per_second
-        return self.lines_per_second + FAILURE_RESERVE
+        return self.lines_per_second + FAILURE_LINES_PER_SECOND
 
-    def _flush_partial(self) -> bool:
-        """Write the rest of a line that was cut short; return whether it is out."""
-        if self.partial:
+    def _flush_unsent(self) -> bool:
+        """Write the rest of a partially written line; return whether it is complete."""
+        if self.unsent:
             self._send(b"")
-        return not self.partial
+        return not self.unsent
 
     def _write(self, message: dict) -> None:
-        self.written += 1
+        self.lines_this_second += 1
         self._send(json.dumps(message, default=json_default).encode() + b"\n")
 
     def _send(self, line: bytes) -> None:
-        data = self.partial + line
+        data = self.unsent + line
         try:
             sent = os.write(self.descriptor, data)
         except BlockingIOError:
             sent = 0
-            if not self.partial:
-                self.left_out += 1
+            if not self.unsent:
+                self.dropped_lines += 1
                 return
         except OSError:
-            # The reader is gone for good; there is nobody to tell.
-            self.partial = b""
+            # The reader has closed the pipe.
+            self.unsent = b""
             return
-        self.partial = data[sent:]
+        self.unsent = data[sent:]
 
 
 def log_to_descriptor(descriptor: int, seconds) -> BoundedLog:
-    """Send every eliot message to ``descriptor``; ``seconds()`` is the process's clock."""
+    """Log all eliot messages to ``descriptor``; ``seconds()`` returns the clock time."""
     log = BoundedLog(descriptor, seconds)
     add_destinations(log)
     return log
--- a/src/guavacleat/settings.py
+++ b/src/guavacleat/settings.py
@@ -1,4 +1,4 @@
-"""What one gateway process is told about itself: addresses, resources and time bounds."""
+"""Settings of one gateway process: addresses, resource limits and time bounds."""
 
 __all__ = ["Bounds", "ProcessSettings", "ResourceLimits"]
 
@@ -14,15 +14,15 @@
 
 
 class Bounds:
-    """Time and volume bounds that the operators set; seconds.
+    """Bounds set by the operators; times are in seconds.
 
-    :param drain: until when a leaving endpoint may still get new requests.
-    :param stop_grace: from SIGTERM until the process is killed.
-    :param config_apply: until when a stored configuration must be in force.
-    :param retry_ratio: repeats allowed per request, over all gateways.
-    :param retry_extra: repeats allowed in ``retry_window`` besides.
-    :param retry_window: length of the sliding window in which repeats count.
-    :param prefix_reuse: how long a shared prompt part is worth reading only once.
+    :param drain: time in which a draining endpoint may still receive new requests.
+    :param stop_grace: time from SIGTERM until the process is killed.
+    :param config_apply: time in which a stored configuration must be in force.
+    :param retry_ratio: retries allowed per request, over all gateways.
+    :param retry_extra: retries allowed per ``retry_window`` in addition.
+    :param retry_window: sliding window over which retries are counted.
+    :param prefix_reuse: time in which a shared prompt prefix should be prefilled only once.
     """
 
     __slots__ = (
@@ -57,10 +57,10 @@
 class ProcessSettings:
     """Settings of one gateway process; addresses are ``(ip, port)``.
 
-    :param instance: the name of the instance it runs on, unique in the deployment.
-    :param caller_address: where callers' connections arrive.
-    :param readiness_address: where the balancer asks whether to send more.
-    :param peer_ports: ports open between the system's own processes.
+    :param instance: name of the instance it runs on, unique in the deployment.
+    :param caller_address: accepts callers' connections.
+    :param readiness_address: serves the balancer's readiness check.
+    :param peer_ports: ports open between the processes of the deployment.
     """
 
     __slots__ = (
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -1,4 +1,4 @@
-"""Log lines on a pipe whose reader is slow, gone, or flooded."""
+"""Logging to a pipe whose reader stalls, closes it, or is flooded."""
 
 import json
 import os
@@ -21,8 +21,8 @@
             continue
 
 
-def raw(reader):
-    """All bytes that can be read now."""
+def read_available(reader):
+    """All bytes available now."""
     os.set_blocking(reader, False)
     data = b""
     while True:
@@ -40,38 +40,34 @@
     return [json.loads(line) for line in data.splitlines()]
 
 
-def test_a_stalled_reader_never_blocks_and_gets_whole_lines_later(pipe, clock):
-    """
-    Symptom: callers wait because nobody reads the log.
-    Sequence: the reader stalls; the pipe fills in the middle of a line; the reader goes on.
-    Cause: a write must never wait; the rest of a cut line has to come before the next.
-    """
+def test_stalled_reader_does_not_block_and_gets_whole_lines_later(pipe, clock):
+    """Writes must not block, and a partially written line is completed before the next."""
     reader, writer = pipe
     log = BoundedLog(writer, clock.seconds)
     for _ in range(100):
         log(FILL)
-    assert log.left_out > 0
-    first = raw(reader)
+    assert log.dropped_lines > 0
+    first = read_available(reader)
     assert not first.endswith(b"\n"), "a line was cut"
     clock.advance(1)
     log({"message_type": "process:stopped"})
-    kinds = [line["message_type"] for line in lines(first + raw(reader))]
+    kinds = [line["message_type"] for line in lines(first + read_available(reader))]
     assert kinds[-2:] == ["log:left-out", "process:stopped"]
 
 
-def test_volume_is_bounded_and_failures_have_room_left(pipe, clock):
+def test_rate_limit_reserves_lines_for_failures(pipe, clock):
     reader, writer = pipe
     log = BoundedLog(writer, clock.seconds, lines_per_second=5)
     for _ in range(20):
         log({"message_type": "request:end", "outcome": "ANSWERED"})
     log({"message_type": "request:end", "outcome": "BROKEN"})
-    found = lines(raw(reader))
+    found = lines(read_available(reader))
     assert [line.get("outcome") for line in found].count("ANSWERED") == 5
     assert found[-1]["outcome"] == "BROKEN"
     assert {"message_type": "log:left-out", "lines": 15} in found
 
 
-def test_a_reader_that_is_gone_is_no_error(pipe, clock):
+def test_closed_pipe_is_not_an_error(pipe, clock):
     reader, writer = pipe
     log = BoundedLog(writer, clock.seconds)
     os.close(reader)
