--- a/src/guavacleat/config/__init__.py
+++ b/src/guavacleat/config/__init__.py
@@ -1,4 +1,4 @@
-"""Deployment settings: one JSON-with-comments file per deployment, checked whole on load."""
+"""Deployment settings: one JSON5 file per deployment, validated as a whole on load."""
 
 from guavacleat.config.loader import load_settings, parse_settings, read_settings
 from guavacleat.config.model import (
--- a/src/guavacleat/config/checks.py
+++ b/src/guavacleat/config/checks.py
@@ -1,4 +1,4 @@
-"""Checks that settings files of every kind share: all problems found, each with its remedy."""
+"""Validation helpers for settings files; every problem is reported with its remedy."""
 
 from collections import Counter
 from pathlib import Path
@@ -9,7 +9,7 @@
 
 __all__ = [
     "Problems",
-    "as_items",
+    "indexed_items",
     "parse_json5",
     "positive_number",
     "read_settings",
@@ -20,7 +20,7 @@
 
 
 class Problems:
-    """Collects problems while a file is checked, so all of them are reported at once."""
+    """Collects the problems found in a file, so that all are reported at once."""
 
     __slots__ = ("lines",)
 
@@ -38,20 +38,21 @@
     except OSError as exc:
         raise SettingsError(
             f"cannot read settings file {path}: {exc.strerror}.",
-            "give the path of a readable JSON-with-comments settings file.",
+            "give the path of a readable JSON5 settings file.",
         ) from exc
 
 
 def parse_json5(text: str, problems: "Problems"):
-    """Parse JSON with comments; add a problem and return None if it is not."""
+    """Parse JSON5; on a syntax error, add a problem and return None."""
     try:
         return json5.loads(text)
     except ValueError as exc:
-        problems.add("file", f"not valid JSON with comments ({exc}).", "fix the syntax.")
+        problems.add("file", f"not valid JSON5 ({exc}).", "fix the syntax.")
         return None
 
 
-def as_items(raw: dict, field: str) -> list[tuple[int, dict]]:
+def indexed_items(raw: dict, field: str) -> list[tuple[int, dict]]:
+    """Return the field's list as (index, item) pairs; empty if it is not a list."""
     value = raw.get(field, [])
     return list(enumerate(value)) if isinstance(value, list) else []
 
--- a/src/guavacleat/config/holder.py
+++ b/src/guavacleat/config/holder.py
@@ -1,9 +1,8 @@
-"""The last accepted configuration in one daemon, which only ever moves forward.
+"""The configuration in force in one daemon; it never goes back to an older version.
 
-Daemons learn configuration from the object API (``config/<deployment>``) by watch. A watch may
-replay an old version after a gap, a store outage or a restart of the store's client; applying it
-would revert the operators' change. The holder therefore accepts a stored version only if it is
-newer than the one in force, and only if it passes the same checks as ``ctl apply``.
+Daemons watch ``config/<deployment>`` in the object API. A watch may replay an old version after a
+gap, a store outage or a restart of the client. A stored version is therefore accepted only if it
+is newer than the one in force and passes the same checks as ``ctl apply``.
 """
 
 from eliot import log_message
@@ -18,32 +17,33 @@
 
 
 class ConfigHolder:
-    """Holds ``(version, Deployment)``; counts what it accepted, ignored and refused."""
+    """Holds ``(version, Deployment)``; counts accepted, stale and refused versions."""
 
     def __init__(self, deployment_name: str | None = None):
         self.deployment_name = deployment_name
         self.version = 0
-        # By era, the first number seen of it: what came back with a copy of the store.
-        self.copied_by_era: dict[int, int] = {}
+        # First number seen in each era: the version restored from a backup of the store.
+        self.restored_number_by_era: dict[int, int] = {}
         self.deployment: Deployment | None = None
         self.counts_by_outcome = {"accepted": 0, "stale": 0, "refused": 0}
 
     def _is_newer(self, version: int) -> bool:
         """Whether a stored version was written after the one in force.
 
-        A store that comes back from a copy has an older version, of a later era; what operators
-        write after that has a higher number than the copy, if not than the one in force.
+        A store restored from a backup returns an older version in a later era. Versions written
+        after the restore have a higher number than the restored one, but may have a lower one
+        than the version in force.
         """
         offered, in_force = Revision(version), Revision(self.version)
         if not self.version or offered.era == in_force.era:
             return offered > in_force
         if offered.era < in_force.era:
             return False
-        copied = self.copied_by_era.setdefault(offered.era, offered.number)
-        return offered.number > copied or offered.number > in_force.number
+        restored_number = self.restored_number_by_era.setdefault(offered.era, offered.number)
+        return offered.number > restored_number or offered.number > in_force.number
 
     def offer(self, stored: StoredObject) -> bool:
-        """Take in a stored configuration; return True if it is now in force."""
+        """Accept a stored configuration if it is newer and valid; return whether it was."""
         if self.deployment_name and stored.name != self.deployment_name:
             return False
         if not self._is_newer(stored.version):
--- a/src/guavacleat/config/loader.py
+++ b/src/guavacleat/config/loader.py
@@ -1,8 +1,7 @@
-"""Reading and checking a deployment settings file (JSON with comments, via json5).
+"""Loads and validates a deployment settings file (JSON5).
 
-A file is accepted whole or refused whole: every problem found is listed in one
-:class:`~guavacleat.errors.SettingsError`, each naming the field and the remedy, and nothing of a
-refused file is applied.
+A file with any problem is refused as a whole. One :class:`~guavacleat.errors.SettingsError` lists
+all problems, each with its field and remedy.
 """
 
 from pathlib import Path
@@ -11,7 +10,7 @@
 
 from guavacleat.config.checks import (
     Problems,
-    as_items,
+    indexed_items,
     parse_json5,
     positive_number,
     read_settings,
@@ -41,12 +40,12 @@
 
 
 def load_settings(path: str | Path) -> Deployment:
-    """Read, parse and check one settings file; raise SettingsError naming every problem."""
+    """Load and validate a settings file; raise SettingsError listing every problem."""
     return parse_settings(read_settings(path), source=str(path))
 
 
 def parse_settings(text: str, source: str = "<settings>") -> Deployment:
-    """Parse and check settings text; raise SettingsError naming every problem."""
+    """Parse and validate settings text; raise SettingsError listing every problem."""
     result = check_settings(text)
     if result.is_error():
         raise SettingsError(
@@ -57,7 +56,7 @@
 
 
 def check_settings(text: str) -> Result[Deployment, list[str]]:
-    """Return the checked deployment, or every problem found as lines naming field and remedy."""
+    """Return the deployment, or a line with field and remedy for each problem."""
     problems = Problems()
     raw = parse_json5(text, problems)
     if problems.lines:
@@ -66,10 +65,10 @@
 
 
 def check_raw(raw) -> Result[Deployment, list[str]]:
-    """Check settings already parsed into plain JSON values (as the object API holds them).
+    """Validate settings already parsed into plain JSON values, as the object API holds them.
 
-    Daemons call this on every configuration they are offered; parsing with json5 again would
-    cost them about a thousand times more CPU than the checks.
+    Daemons call this for every stored configuration. It avoids json5, which is far slower than
+    the validation itself.
     """
     if not isinstance(raw, dict):
         return Error(["file: the top level is not an object. Remedy: wrap settings in { }."])
@@ -81,10 +80,12 @@
 def _build(raw: dict, problems: Problems) -> Deployment:
     name = text_field(raw, "deployment", problems)
     data_centres = tuple(text_list(raw, "data_centres", problems))
-    classes = [_priority_class(i, item, problems) for i, item in as_items(raw, "priority_classes")]
-    services = [_service(i, item, problems) for i, item in as_items(raw, "services")]
-    accounts = [_account(i, item, problems) for i, item in as_items(raw, "client_accounts")]
-    endpoints = [_endpoint(i, item, problems) for i, item in as_items(raw, "endpoints")]
+    classes = [
+        _priority_class(i, item, problems) for i, item in indexed_items(raw, "priority_classes")
+    ]
+    services = [_service(i, item, problems) for i, item in indexed_items(raw, "services")]
+    accounts = [_account(i, item, problems) for i, item in indexed_items(raw, "client_accounts")]
+    endpoints = [_endpoint(i, item, problems) for i, item in indexed_items(raw, "endpoints")]
     for field, parts in (
         ("priority_classes", classes),
         ("services", services),
--- a/src/guavacleat/config/model.py
+++ b/src/guavacleat/config/model.py
@@ -1,4 +1,4 @@
-"""Plain classes for one deployment's settings, as accepted after checking."""
+"""Data classes for the validated settings of one deployment."""
 
 __all__ = [
     "ClientAccount",
@@ -10,12 +10,12 @@
     "URGENT_PRIORITY",
 ]
 
-# The most urgent priority. Its requests may use the engine memory that is kept free from others.
+# The highest priority; only its requests may use the reserved part of engine memory.
 URGENT_PRIORITY = 0
 
 
 class PriorityClass:
-    """A named class of requests; a lower ``priority`` is served first by engines."""
+    """A named class of requests; engines serve a lower ``priority`` first."""
 
     __slots__ = ("name", "priority")
 
@@ -25,10 +25,10 @@
 
 
 class Service:
-    """A back end callers address by name: model engines or a plain service.
+    """A back end that callers address by name: model engines or a plain service.
 
-    ``repeatable`` is false for services whose calls may run at most once (connection records,
-    slot confirmations); such calls need an idempotency key.
+    ``repeatable`` is false for services whose calls may run at most once; such calls need an
+    idempotency key.
     """
 
     __slots__ = ("name", "kind", "models", "repeatable")
@@ -41,7 +41,7 @@
 
 
 class ClientAccount:
-    """A paying client; ``weight`` is its share of tokens when engines are full."""
+    """A client account; ``weight`` is its share of tokens when engines are full."""
 
     __slots__ = ("name", "weight")
 
@@ -51,7 +51,7 @@
 
 
 class Endpoint:
-    """One engine or service instance that the deployment expects, by name."""
+    """An engine or service replica that the deployment expects."""
 
     __slots__ = ("name", "service", "data_centre")
 
@@ -62,13 +62,12 @@
 
 
 class Limits:
-    """Admission bounds for one gateway.
+    """Admission limits of one gateway.
 
-    :param queue_per_account: waiting requests per client account before refusing as not run.
-    :param in_flight_per_endpoint: generations one gateway keeps running on one endpoint.
-    :param retry_after: seconds a refused caller is told to wait, at least.
-    :param max_wait: seconds a request may expect to wait for an endpoint; one that would wait
-        longer is refused at once.
+    :param queue_per_account: queued requests per client account; more are refused as not run.
+    :param in_flight_per_endpoint: concurrent generations of one gateway on one endpoint.
+    :param retry_after: minimum retry delay sent with a refusal, in seconds.
+    :param max_wait: seconds; a request with a longer expected queueing time is refused at once.
     """
 
     __slots__ = ("queue_per_account", "in_flight_per_endpoint", "retry_after", "max_wait")
@@ -87,7 +86,7 @@
 
 
 class Deployment:
-    """One deployment's whole settings; every collection is keyed by name."""
+    """The settings of one deployment; every collection is keyed by name."""
 
     __slots__ = (
         "name",
--- a/src/guavacleat/ctl/__init__.py
+++ b/src/guavacleat/ctl/__init__.py
@@ -1,4 +1,4 @@
-"""Operators' commands: apply a settings file whole, and read status."""
+"""Operator commands: apply a settings file and read status."""
 
 from guavacleat.ctl.apply import apply_settings
 from guavacleat.ctl.status import read_status
--- a/src/guavacleat/ctl/apply.py
+++ b/src/guavacleat/ctl/apply.py
@@ -1,9 +1,9 @@
-"""``ctl apply``: check a settings file, then write it whole by a conditional update.
+"""``ctl apply``: validate a settings file, then store it by a conditional update.
 
-The write expects the version the operator based the change on (by default, the version read
-just before writing). If another operator applied in between, the write loses and the error
-names the version to rebase on. If the store's answer is lost, the object is read back: if it
-holds exactly this file at the next version, the apply took effect.
+The update expects the version that the change is based on (by default, the version read just
+before writing). If another operator applied in between, it fails with a conflict that names the
+version to rebase on. If the store's response is lost, the object is read back: if it equals this
+file at the next version, the apply succeeded.
 """
 
 import json
@@ -19,7 +19,7 @@
 
 
 class AppliedSettings:
-    """The outcome of an apply: the deployment's name and the version now stored."""
+    """The result of an apply: the deployment's name and the version now stored."""
 
     __slots__ = ("name", "version")
 
@@ -32,8 +32,8 @@
 def apply_settings(store: StoreClient, path: str, base_version: int | None = None):
     """Apply the file at ``path``; fire with :class:`AppliedSettings`.
 
-    Raises SettingsError if the file is refused (nothing written), ConflictError if another
-    apply won, StoreUnavailableError if the store could not confirm either way.
+    Raises SettingsError if the file is invalid (nothing is written), ConflictError if another
+    apply came first, StoreUnavailableError if the outcome is unknown.
     """
     text = read_settings(path)
     deployment = parse_settings(text, source=path)
@@ -44,7 +44,7 @@
     try:
         stored = yield store.put(CONFIG_KIND, deployment.name, value, base_version)
     except StoreUnavailableError:
-        # The write may have applied with its answer lost: read back before reporting.
+        # The write may have succeeded with its response lost: read it back.
         current = yield store.get(CONFIG_KIND, deployment.name)
         if current is None or current.version != base_version + 1 or current.value != value:
             raise
--- a/src/guavacleat/ctl/status.py
+++ b/src/guavacleat/ctl/status.py
@@ -1,4 +1,4 @@
-"""``ctl status``: the configuration in force and the endpoints, as the object API holds them."""
+"""``ctl status``: the stored configurations and endpoints."""
 
 from twisted.internet import defer
 
@@ -11,17 +11,17 @@
 
 @defer.inlineCallbacks
 def read_status(store: StoreClient):
-    """Fire with lines of text describing configurations and endpoints."""
+    """Fire with lines of text that describe configurations and endpoints."""
     configs = yield store.list_objects(CONFIG_KIND)
     endpoints = yield store.list_objects(ENDPOINT_KIND)
     if not configs.objects and not endpoints.objects:
         return ["nothing applied yet; run `guavacleat ctl apply FILE`."]
-    lines = [f"store: era {store.era or 0}, restored from a copy so often"] if store.era else []
+    lines = [f"store: era {store.era or 0} (number of restores from a backup)"] if store.era else []
     lines += [f"configuration {obj.name}: version {obj.version}" for obj in configs.objects]
     lines += [
         f"endpoint {obj.name}: service {obj.value['service']},"
         f" {'draining' if obj.value['draining'] else 'serving'} at {obj.value['address']},"
-        f" beat {obj.value['beat']}"
+        f" heartbeat {obj.value['beat']}"
         for obj in endpoints.objects
     ]
     return lines
--- a/src/guavacleat/routes/loader.py
+++ b/src/guavacleat/routes/loader.py
@@ -1,15 +1,15 @@
-"""Reading a routes file: the product's own form of a routing configuration (JSON with comments).
+"""Loads and validates a routes file (JSON5).
 
-One file holds a whole configuration: caller limits, client accounts with their keys, services,
-routes and the endpoints by address. Times are in seconds. A file with any problem is refused
-whole, and every problem is named with its remedy. See ``examples/routes.json5``.
+A file holds a complete routing configuration: caller limits, client accounts with their keys,
+services, routes and endpoint addresses. Times are in seconds. A file with any problem is refused
+as a whole, and every problem is listed with its remedy. See ``examples/routes.json5``.
 """
 
 from pathlib import Path
 
 from guavacleat.config.checks import (
     Problems,
-    as_items,
+    indexed_items,
     parse_json5,
     positive_number,
     read_settings,
@@ -48,12 +48,12 @@
 
 
 def load_routes(path: str | Path) -> RoutesFile:
-    """Read, parse and check a routes file; raise SettingsError naming every problem."""
+    """Load and validate a routes file; raise SettingsError listing every problem."""
     return parse_routes(read_settings(path), source=str(path))
 
 
 def parse_routes(text: str, source: str = "<routes>") -> RoutesFile:
-    """Parse and check the text of a routes file; raise SettingsError naming every problem."""
+    """Parse and validate the text of a routes file; raise SettingsError listing every problem."""
     problems = Problems()
     raw = parse_json5(text, problems)
     if not problems.lines and not isinstance(raw, dict):
@@ -68,9 +68,11 @@
 
 
 def _build(raw: dict, problems: Problems) -> RoutesFile:
-    services = [_service(index, item, problems) for index, item in as_items(raw, "services")]
-    routes = [_route(index, item, problems) for index, item in as_items(raw, "routes")]
-    endpoints = [_endpoint(index, item, problems) for index, item in as_items(raw, "endpoints")]
+    services = [_service(index, item, problems) for index, item in indexed_items(raw, "services")]
+    routes = [_route(index, item, problems) for index, item in indexed_items(raw, "routes")]
+    endpoints = [
+        _endpoint(index, item, problems) for index, item in indexed_items(raw, "endpoints")
+    ]
     services_by_name = {service.name: service for service in services}
     for field, names in (
         ("services", [service.name for service in services]),
@@ -146,7 +148,7 @@
             text_field(backend, "service", problems, f"{where}backends[{index}]."),
             positive_number(backend, "weight", problems, f"{where}backends[{index}].", 1),
         )
-        for index, backend in as_items(item, "backends")
+        for index, backend in indexed_items(item, "backends")
     )
     if not backends:
         problems.add(where + "backends", "is empty or missing.", "list at least one service.")
@@ -171,22 +173,22 @@
 
 
 def _check_services(routes, endpoints, services_by_name, problems: Problems) -> None:
-    named = [
+    references = [
         (f"routes {route.name}", backend.service) for route in routes for backend in route.backends
     ] + [(f"endpoints {endpoint.id}", endpoint.service) for endpoint in endpoints]
-    for where, service in named:
+    for where, service in references:
         if service and service not in services_by_name:
             problems.add(where, f"names unknown service {service!r}.", "add it to services.")
 
 
 def _accounts_by_key(raw: dict, problems: Problems) -> dict[str, Account]:
     accounts_by_key = {}
-    for index, item in as_items(raw, "client_accounts"):
+    for index, item in indexed_items(raw, "client_accounts"):
         where = f"client_accounts[{index}]."
         account = Account(text_field(item, "name", problems, where), item.get("priority"))
         for key in text_list(item, "keys", problems):
             if key in accounts_by_key:
-                problems.add(where + "keys", "holds a key of another account.", "draw a new key.")
+                problems.add(where + "keys", "has a key of another account.", "generate a new key.")
             accounts_by_key[key] = account
     return accounts_by_key
 
--- a/tests/config/test_loader.py
+++ b/tests/config/test_loader.py
@@ -1,4 +1,4 @@
-"""Settings are checked whole: good files load, each bad field is named with its remedy."""
+"""Loading of deployment settings: valid files load, each invalid field is reported."""
 
 from pathlib import Path
 
@@ -18,7 +18,7 @@
 
 
 @pytest.mark.parametrize("name", ["nile.json5", "keurplan.json5"])
-def test_shipped_examples_load(name):
+def test_examples_load(name):
     deployment = load_settings(EXAMPLES / name)
     assert len(deployment.client_accounts_by_name) == 10
     assert all(
@@ -41,12 +41,8 @@
 
 
 @pytest.mark.parametrize("change,field", BAD_FIELDS)
-def test_bad_field_is_named_with_remedy(nile_raw, change, field):
-    """
-    Symptom: an operator applies a file with one wrong field.
-    Sequence: the file is parsed, then checked.
-    Cause: a bad value would otherwise be applied partly; the check must refuse it whole.
-    """
+def test_invalid_field_is_reported_with_remedy(nile_raw, change, field):
+    """A file with one invalid field must be refused as a whole, not applied in part."""
     change(nile_raw)
     with pytest.raises(SettingsError) as caught:
         parse_settings(json5.dumps(nile_raw))
@@ -59,6 +55,6 @@
         parse_settings("{ deployment: ")
 
 
-def test_missing_file_names_the_path(tmp_path):
+def test_missing_file_is_reported(tmp_path):
     with pytest.raises(SettingsError, match="cannot read"):
         load_settings(tmp_path / "absent.json5")
--- a/tests/ctl/test_apply.py
+++ b/tests/ctl/test_apply.py
@@ -1,4 +1,4 @@
-"""``ctl apply`` under racing operators and lost acknowledgements."""
+"""``ctl apply`` with concurrent operators and lost responses."""
 
 from pathlib import Path
 
@@ -13,25 +13,21 @@
 NILE = Path(guavacleat.__file__).parent / "examples" / "nile.json5"
 
 
-def test_racing_apply_loses_naming_the_version_to_rebase_on(store, stub_http):
-    """
-    Symptom: one operator's change silently overwrites another's.
-    Sequence: both base their file on version 1; the first applies; the second applies.
-    Cause: an unconditional write would let the second win blindly.
-    """
+def test_concurrent_apply_fails_with_the_version_to_rebase_on(store, stub_http):
+    """Of two changes based on the same version, the second must not overwrite the first."""
     result_of(apply_settings(store, str(NILE)), stub_http.flush)
     result_of(apply_settings(store, str(NILE), base_version=1), stub_http.flush)
     with pytest.raises(ConflictError, match="version 2"):
         result_of(apply_settings(store, str(NILE), base_version=1), stub_http.flush)
 
 
-def test_lost_acknowledgement_reports_success_after_read_back(store, store_app, stub_http):
+def test_apply_succeeds_after_read_back_when_the_response_is_lost(store, store_app, stub_http):
     store_app.faults.lose_acks = 1
     applied = result_of(apply_settings(store, str(NILE)), stub_http.flush)
     assert applied.version == 1
 
 
-def test_refused_file_writes_nothing(store, store_app, stub_http, tmp_path):
+def test_invalid_file_is_not_written(store, store_app, stub_http, tmp_path):
     bad = tmp_path / "bad.json5"
     bad.write_text("{ deployment: 'x' }")
     with pytest.raises(SettingsError):
--- a/tests/routes/test_loader.py
+++ b/tests/routes/test_loader.py
@@ -1,4 +1,4 @@
-"""The routes file is checked whole: the example loads, each bad field is named with its remedy."""
+"""Loading of routes files: the example loads, each invalid field is reported."""
 
 from pathlib import Path
 
@@ -18,7 +18,7 @@
     return json5.loads(EXAMPLE.read_text())
 
 
-def test_the_example_loads():
+def test_example_loads():
     found = load_routes(EXAMPLE)
     listing = found.table.match("enquiry.example", "/listing/x")
     assert (listing.kind, listing.timeout, listing.gap_goal) == (RequestKind.STREAM, 39, 0.18)
@@ -49,7 +49,7 @@
 
 
 @pytest.mark.parametrize("change,named", BAD_FIELDS)
-def test_each_bad_field_is_named(raw, change, named):
+def test_invalid_field_is_reported_with_remedy(raw, change, named):
     change(raw)
     with pytest.raises(SettingsError) as caught:
         parse_routes(json5.dumps(raw))
@@ -58,6 +58,6 @@
 
 
 @pytest.mark.parametrize("text", ["{", "[]", "3"])
-def test_what_is_no_object_is_refused(text):
+def test_text_that_is_not_an_object_is_refused(text):
     with pytest.raises(SettingsError, match="file:"):
         parse_routes(text)
