--- a/src/guavacleat/gateway/__init__.py
+++ b/src/guavacleat/gateway/__init__.py
@@ -1,4 +1,4 @@
-"""The entry daemon: callers' HTTP interface, admission, routing and stream relay."""
+"""The entry daemon: HTTP interface, admission, routing and stream relay."""
 
 from guavacleat.gateway.service import GatewayService
 
--- a/src/guavacleat/gateway/app.py
+++ b/src/guavacleat/gateway/app.py
@@ -1,15 +1,15 @@
 """HTTP routes of the gateway (klein).
 
 - ``POST /v1/completions``: JSON ``{"service", "account", "priority_class", "prompt",
-  "max_tokens"}``, optional ``Idempotency-Key`` header; answers with SSE events
-  ``{"stream"}`` (the handle to reconnect with), ``{"index", "text"}``, then
+  "max_tokens"}``, optional ``Idempotency-Key`` header; responds with SSE events
+  ``{"stream"}`` (the handle to resume with), ``{"index", "text"}``, then
   ``{"finish_reason", "tokens"}`` and ``[DONE]``. A request refused
-  before any engine started it gets 429 (or 503 with no configuration) with a ``Retry-After``
+  before any engine started it gets 429 (or 503 without a configuration) with a ``Retry-After``
   header and ``{"error": {"type": "not_run", ...}}``. A retry of a non-repeatable call gets the
-  kept answer replayed, or 409 with ``Retry-After`` while the first attempt still runs. A caller
+  stored response, or 409 with ``Retry-After`` while the first attempt runs. A caller
   that lost its connection posts the same body to any gateway with ``"resume": {"stream": handle,
-  "received": [texts]}`` and gets the tokens after those (429 ``not_resumed`` if nobody can go on
-  now).
+  "received": [texts]}`` and gets the remaining tokens (429 ``not_resumed`` if no endpoint can
+  resume the stream now).
 - ``GET /status``: configuration version, live endpoints, in-flight counts, latency summary.
 - ``GET /metrics``: Prometheus text.
 """
@@ -28,7 +28,7 @@
 
 __all__ = ["GatewayApp"]
 
-NO_CONFIG_RETRY = 1.0
+NO_CONFIG_RETRY_SECONDS = 1.0
 
 
 class GatewayApp:
@@ -53,7 +53,7 @@
                 NotRunError(
                     "this gateway has no configuration in force or is stopping.",
                     "apply one with `guavacleat ctl apply FILE`, or retry another gateway.",
-                    retry_after=NO_CONFIG_RETRY,
+                    retry_after=NO_CONFIG_RETRY_SECONDS,
                 ),
                 status=503,
             )
@@ -74,28 +74,28 @@
     @defer.inlineCallbacks
     def _serve(self, request, completion, deployment):
         gateway = self.gateway
-        account, klass = completion.account, completion.priority_class
+        account, class_name = completion.account, completion.priority_class
         call = CallGuard(gateway.calls, completion)
         sink = SseSink(request, completion)
         try:
             progress = yield gateway.relay.run(completion, deployment.limits, sink, call.claim)
         except NotRunError as exc:
             released = yield call.release()
-            gateway.metrics.outcome(account, klass, "not_run")
-            told = exc if released else _with_new_key(exc)
-            return _refuse(request, told, kind=_refusal_kind(completion))
+            gateway.metrics.outcome(account, class_name, "not_run")
+            refusal = exc if released else _with_new_key(exc)
+            return _refuse(request, refusal, kind=_refusal_kind(completion))
         except AlreadyAcceptedError as exc:
-            gateway.metrics.outcome(account, klass, "duplicate")
+            gateway.metrics.outcome(account, class_name, "duplicate")
             return _already_accepted(request, completion, exc)
         except KeyReusedError as exc:
             return _bad_request(request, exc)
-        except Exception as exc:  # noqa: BLE001 - the caller must hear why its stream ended
+        except Exception as exc:  # noqa: BLE001 - reported to the caller as an error event
             call.mark_unknown()
-            gateway.metrics.outcome(account, klass, "failed")
+            gateway.metrics.outcome(account, class_name, "failed")
             sink.error("failed", str(exc))
             return b""
         call.finish(progress)
-        gateway.metrics.outcome(account, klass, _outcome(progress))
+        gateway.metrics.outcome(account, class_name, _outcome(progress))
         return b""
 
     @app.route("/status", methods=["GET"])
@@ -111,7 +111,7 @@
 
 
 def _with_new_key(exc: NotRunError) -> NotRunError:
-    """The refusal of a call whose key may stay held: the object API did not record its release."""
+    """The refusal of a call whose key may still be claimed: its release was not recorded."""
     remedy = f"retry after {exc.retry_after} s with a new idempotency key: this call has not run."
     return NotRunError(exc.problem, remedy, exc.retry_after)
 
@@ -125,7 +125,7 @@
 
 
 def _already_accepted(request, completion, exc: AlreadyAcceptedError) -> bytes:
-    """Replay a finished call's kept answer, or tell the retry when to come back."""
+    """Replay the stored response of a finished call, or send 409 with a retry delay."""
     if exc.answer is None:
         if exc.retry_after is not None:
             request.setHeader("retry-after", str(max(1, math.ceil(exc.retry_after))))
@@ -140,7 +140,7 @@
 
 
 def _refusal_kind(completion) -> str:
-    """A caller that reconnects has had part of its answer: to call that not run would be false."""
+    """The error type of a refusal; a resumed request has already run in part."""
     return "not_run" if completion.resume is None else "not_resumed"
 
 
--- a/src/guavacleat/gateway/requests.py
+++ b/src/guavacleat/gateway/requests.py
@@ -1,4 +1,4 @@
-"""Parsing a caller's completion request against the configuration in force."""
+"""Parses completion requests against the configuration in force."""
 
 import json
 import uuid
@@ -16,11 +16,11 @@
 
 
 class RequestError(GuavacleatError):
-    """The caller's request is malformed or names something the configuration lacks."""
+    """The request is malformed or names something that is not in the configuration."""
 
 
 def parse_completion(body: bytes, idempotency_key: str | None, deployment: Deployment, now):
-    """Return a :class:`CompletionRequest`; raise RequestError naming the field and remedy."""
+    """Return a :class:`CompletionRequest`; raise RequestError with the field and remedy."""
     try:
         raw = json.loads(body)
     except ValueError as exc:
--- a/src/guavacleat/gateway/service.py
+++ b/src/guavacleat/gateway/service.py
@@ -1,4 +1,4 @@
-"""The gateway as a Twisted service: watches config and endpoints, serves callers over HTTP."""
+"""The gateway as a Twisted service: watches configuration and endpoints, serves HTTP."""
 
 from uuid import uuid4
 
@@ -24,11 +24,11 @@
 
 __all__ = ["GatewayService", "STOP_GRACE_SECONDS"]
 
-# Long outputs take minutes; a planned stop waits for them unless the operator says otherwise.
+# Default time to wait for running streams; long generations take minutes.
 STOP_GRACE_SECONDS = 600.0
 STOP_POLL_SECONDS = 0.1
 FLUSH_SECONDS = 0.5
-ENDPOINT_WATCH_PAUSE = 0.2
+ENDPOINT_WATCH_PAUSE_SECONDS = 0.2
 ROUTER = "cache-load"
 
 
@@ -36,10 +36,10 @@
     """One entry daemon.
 
     :param reactor: provides TCP and time.
-    :param listen: ``(host, port)`` for callers' HTTP; port 0 picks a free one.
+    :param listen: ``(host, port)`` of the HTTP interface; port 0 picks a free one.
     :param store_url: ``http://host:port`` of the object API.
-    :param deployment: the name of the deployment whose configuration this gateway follows.
-    :param stop_grace: seconds a planned stop waits for running streams at most.
+    :param deployment: the name of the deployment whose configuration this gateway uses.
+    :param stop_grace: maximum seconds that a graceful stop waits for running streams.
     """
 
     def __init__(
@@ -71,7 +71,7 @@
                 ENDPOINT_KIND,
                 self._endpoint_changed,
                 on_health=self.membership.record_store_health,
-                pause=lambda: ENDPOINT_WATCH_PAUSE,
+                pause=lambda: ENDPOINT_WATCH_PAUSE_SECONDS,
             ),
         ]
         self.instance_poll = InstancePoller(reactor, self.store, self.membership.instances_leaving)
@@ -98,13 +98,13 @@
 
     @defer.inlineCallbacks
     def stopService(self):  # noqa: N802 - Twisted's name
-        """Graceful stop: refuse new requests as not run, let running streams finish."""
+        """Stop gracefully: refuse new requests as not run, let running streams finish."""
         self.stopping = True
         waited = 0.0
         while self.in_flight and waited < self.stop_grace:
             yield task.deferLater(self.reactor, STOP_POLL_SECONDS, lambda: None)
             waited += STOP_POLL_SECONDS
-        # The last answers are complete but may still be on their way out.
+        # Leave time to flush the last responses.
         yield task.deferLater(self.reactor, FLUSH_SECONDS)
         for watch in self.watches:
             watch.stop()
@@ -116,7 +116,7 @@
         yield super().stopService()
 
     def status(self) -> dict:
-        """What ``GET /status`` reports."""
+        """The body of ``GET /status``."""
         deployment = self.config.deployment
         return {
             "deployment": deployment.name if deployment else None,
--- a/src/guavacleat/gateway/sidecars.py
+++ b/src/guavacleat/gateway/sidecars.py
@@ -1,4 +1,4 @@
-"""Thrift client connections from a gateway to sidecars, one per sidecar address."""
+"""Pool of Thrift client connections to sidecars, one per address."""
 
 from thrift.protocol import TBinaryProtocol
 from thrift.transport import TTwisted
@@ -9,11 +9,11 @@
 
 __all__ = ["SidecarPool"]
 
-CONNECT_TIMEOUT = 2.0
+CONNECT_TIMEOUT_SECONDS = 2.0
 
 
 class SidecarPool:
-    """Opens and reuses one connection per ``host:port``; a lost one is reopened on next use."""
+    """Keeps one connection per ``host:port``; a closed one is reopened on next use."""
 
     def __init__(self, reactor):
         self.reactor = reactor
@@ -31,16 +31,16 @@
                 Sidecar.Client,
                 TBinaryProtocol.TBinaryProtocolFactory(),
             )
-            protocol = yield creator.connectTCP(host, int(port), timeout=CONNECT_TIMEOUT)
+            protocol = yield creator.connectTCP(host, int(port), timeout=CONNECT_TIMEOUT_SECONDS)
             yield protocol.started
             self.protocols_by_address[address] = protocol
         return protocol.client
 
     def discard(self, address: str) -> None:
-        """Drop the connection to ``address`` after a failed call.
+        """Abort the connection to ``address`` after a failed call.
 
-        A stalled link still counts as connected, so every later call to that sidecar would wait
-        on it; the next :meth:`client` opens a new one instead.
+        A stalled connection still counts as connected, so later calls would also time out on it.
+        The next :meth:`client` opens a new one.
         """
         protocol = self.protocols_by_address.pop(address, None)
         if protocol is not None and protocol.transport is not None:
--- a/src/guavacleat/gateway/sse.py
+++ b/src/guavacleat/gateway/sse.py
@@ -1,4 +1,4 @@
-"""Server-sent events written to a Twisted request, one JSON object per event."""
+"""Writes server-sent events to a Twisted request, one JSON object per event."""
 
 import json
 
@@ -8,10 +8,10 @@
 
 
 class SseSink:
-    """Writes tokens to a caller as SSE; stops writing once the caller has gone.
+    """Writes tokens to a caller as SSE until the caller disconnects.
 
-    The stream's headers go out with its first event, so a request refused before that can still
-    be answered with a status of its own.
+    Headers are sent with the first event, so that a request refused earlier can still get its own
+    status code.
     """
 
     def __init__(self, request, completion):
@@ -19,10 +19,10 @@
         self.completion = completion
         self.gone = False
         self.sent = 0
-        request.notifyFinish().addErrback(self._caller_left)
+        request.notifyFinish().addErrback(self._caller_disconnected)
 
     def set_handle(self, handle: str) -> None:
-        """Tell the caller the handle to reconnect with; it changes if the stream moves."""
+        """Send the handle to resume with; it changes if the stream migrates."""
         self._write({"stream": handle})
 
     def token(self, index: int, text: str) -> None:
@@ -47,6 +47,6 @@
                 self.request.setHeader("cache-control", "no-cache")
             self.request.write(b"data: " + json.dumps(body).encode() + b"\n\n")
 
-    def _caller_left(self, _failure) -> None:
+    def _caller_disconnected(self, _failure) -> None:
         self.gone = True
         self.completion.abandoned = True
--- a/tests/gateway/test_admission.py
+++ b/tests/gateway/test_admission.py
@@ -1,4 +1,4 @@
-"""Admission refuses over an account's bound at once, as not run, with a retry time."""
+"""Admission limits per client account, and validation of completion requests."""
 
 import json
 from pathlib import Path
@@ -14,7 +14,7 @@
 NILE = load_settings(Path(guavacleat.__file__).parent / "examples" / "nile.json5")
 
 
-def test_over_bound_is_refused_with_retry_after_and_others_still_enter():
+def test_account_over_its_limit_is_refused_and_others_are_admitted():
     admission = AccountQueueLimit()
     bound = NILE.limits.queue_per_account
     for _ in range(bound):
@@ -41,7 +41,7 @@
 
 
 @pytest.mark.parametrize("change,key,named", BAD_REQUESTS)
-def test_bad_request_names_field_and_remedy(change, key, named):
+def test_invalid_request_is_refused_with_field_and_remedy(change, key, named):
     body = {
         "service": "enquiry-lm",
         "account": "carrier-04",
--- a/tests/gateway/test_app.py
+++ b/tests/gateway/test_app.py
@@ -1,4 +1,4 @@
-"""The gateway's HTTP answers to callers it cannot serve now."""
+"""The gateway's HTTP responses to refused requests."""
 
 import json
 from pathlib import Path
@@ -32,7 +32,7 @@
 
 
 class Gateway:
-    """As much of a ``GatewayService`` as the app needs."""
+    """The parts of ``GatewayService`` that the app needs."""
 
     def __init__(self, clock):
         self.reactor = clock
@@ -48,12 +48,8 @@
 @pytest.mark.parametrize(
     "body,kind", [(BODY, "not_run"), (dict(BODY, resume=RESUME), "not_resumed")]
 )
-def test_refusal_is_called_what_it_is(clock, body, kind):
-    """
-    Symptom: half an answer is shown to an agent as a lookup that "did not run".
-    Sequence: a caller with tokens reconnects; no endpoint can go on now.
-    Cause: every refusal was called not run, also that of a stream already begun.
-    """
+def test_refusal_type_depends_on_resume(clock, body, kind):
+    """A refused resume must not be reported as not run: part of the stream was delivered."""
     http = StubTreq(GatewayApp(Gateway(clock)).resource())
     posting = http.post("http://gateway/v1/completions", data=json.dumps(body).encode())
     response = result_of(posting, http.flush)
@@ -62,8 +58,8 @@
     assert response.headers.getRawHeaders("retry-after") == ["2"]
 
 
-class HeldKey(CallGuard):
-    """A claim whose release the store never records."""
+class UnreleasedClaim(CallGuard):
+    """A claim whose release the store does not record."""
 
     def claim(self):
         self.claimed = True
@@ -73,13 +69,9 @@
         return defer.succeed(False)
 
 
-def test_a_caller_is_told_to_use_a_new_key_where_its_own_stays_held(clock, monkeypatch):
-    """
-    Symptom: a caller comes back with its key as told, and is told that its call was accepted.
-    Sequence: its call is refused; the store does not record that its key is free.
-    Cause: the refusal told it to come back with the same key.
-    """
-    monkeypatch.setattr("guavacleat.gateway.app.CallGuard", HeldKey)
+def test_refusal_asks_for_a_new_key_if_the_claim_was_not_released(clock, monkeypatch):
+    """A retry with a key that is still claimed would be refused as already accepted."""
+    monkeypatch.setattr("guavacleat.gateway.app.CallGuard", UnreleasedClaim)
     http = StubTreq(GatewayApp(Gateway(clock)).resource())
     posting = http.post("http://gateway/v1/completions", data=json.dumps(BODY).encode())
     response = result_of(posting, http.flush)
--- a/tests/gateway/test_config_holder.py
+++ b/tests/gateway/test_config_holder.py
@@ -1,4 +1,4 @@
-"""The configuration in force only moves forward, and only to checked versions."""
+"""The configuration in force is only replaced by newer, valid versions."""
 
 import json
 from pathlib import Path
@@ -26,19 +26,15 @@
         ([2, 2, 1], 2),
     ],
 )
-def test_offers_in_any_order_never_revert(offered, in_force):
-    """
-    Symptom: an applied change reverts on one daemon.
-    Sequence: a watch gap or restart replays an older version after a newer one.
-    Cause: a holder that applied whatever arrived last would go back.
-    """
+def test_older_versions_never_replace_newer_ones(offered, in_force):
+    """An older version replayed by a watch must not revert an applied change."""
     holder = ConfigHolder()
     for version in offered:
         holder.offer(stored(version))
     assert holder.version == in_force
 
 
-def test_version_failing_checks_is_not_put_in_force():
+def test_invalid_version_is_refused():
     holder = ConfigHolder()
     holder.offer(stored(1))
     broken = dict(NILE, client_accounts=[])
@@ -46,12 +42,8 @@
     assert holder.version == 1 and holder.counts_by_outcome["refused"] == 1
 
 
-def test_offered_configuration_is_checked_without_json5(monkeypatch):
-    """
-    Symptom: a daemon spends 35 s of CPU accepting a configuration of 44,000 client accounts.
-    Sequence: ctl stores the file as plain JSON; the holder dumped it and parsed it with json5.
-    Cause: json5 is pure Python, about a thousand times slower than the checks themselves.
-    """
+def test_stored_configuration_is_validated_without_json5(monkeypatch):
+    """Parsing a large configuration with json5 would take a daemon tens of CPU seconds."""
 
     def refuse(*args, **kwargs):
         raise AssertionError("json5 used on an already parsed configuration")
--- a/tests/gateway/test_config_machine.py
+++ b/tests/gateway/test_config_machine.py
@@ -1,10 +1,9 @@
-"""A hypothesis state machine: racing applies and store faults against a daemon's configuration.
+"""A hypothesis state machine: concurrent applies and store faults while a daemon watches.
 
-Rules: operators apply from a fresh or a stale base version, the store goes down or comes back,
-drops the next acknowledgement, an old version is replayed to the daemon, and time passes for
-the daemon's watch. Invariants: the versions
-a daemon held never decrease (``check_versions``), never run ahead of the store, and once the
-store is well and the watch has run, the daemon holds the store's newest version.
+Rules: operators apply from the current or a stale base version, the store fails or recovers or
+loses the next response, an old version is replayed to the daemon, and time passes. Invariants: the
+daemon's version never decreases (``check_versions``) and is never ahead of the store. At the end,
+with the store healthy, the daemon has the store's newest version.
 """
 
 import json
@@ -46,13 +45,13 @@
         self.history = []
         self.watch = WatchLoop(self.clock, self.store, CONFIG_KIND, self._offer, wait=WATCH_WAIT)
         self.watch.start()
-        self._pass(0)
+        self._advance(0)
 
     def _offer(self, stored):
         if self.holder.offer(stored):
             self.in_force.append(self.holder.version)
 
-    def _pass(self, seconds):
+    def _advance(self, seconds):
         self.clock.advance(seconds)
         self.http.flush()
 
@@ -72,7 +71,7 @@
 
     @rule(data=st.data())
     def old_version_replayed(self, data):
-        """A watch reconnecting to a lagging store hands the daemon a version it has passed."""
+        """A watch reconnects to a lagging store replica and delivers an older version."""
         if self.history:
             self._offer(data.draw(st.sampled_from(self.history)))
 
@@ -86,7 +85,7 @@
 
     @rule(seconds=st.sampled_from([0.1, 1.0, 3.0]))
     def time_passes(self, seconds):
-        self._pass(seconds)
+        self._advance(seconds)
 
     @invariant()
     def never_reverts_nor_runs_ahead(self):
@@ -96,7 +95,7 @@
     def teardown(self):
         self.store_app.faults.outage = False
         for _ in range(4):
-            self._pass(BACKOFF_MAX + WATCH_WAIT)
+            self._advance(BACKOFF_MAX + WATCH_WAIT)
         assert self.holder.version == self._stored_version(), "did not converge"
         self.watch.stop()
 
