--- a/src/guavacleat/ingress/__init__.py
+++ b/src/guavacleat/ingress/__init__.py
@@ -1,4 +1,4 @@
-"""The gateway in front of HTTP routes: accepts callers, finds their route, forwards, refuses."""
+"""The HTTP ingress gateway: matches requests to routes, forwards or refuses them."""
 
 from guavacleat.ingress.service import IngressService
 
--- a/src/guavacleat/ingress/metrics.py
+++ b/src/guavacleat/ingress/metrics.py
@@ -1,4 +1,4 @@
-"""Counters and latency histograms of forwarded requests."""
+"""Prometheus metrics of an ingress gateway."""
 
 from aioprometheus import Counter, Gauge, Histogram, Registry
 from aioprometheus.renderer import render
@@ -8,12 +8,12 @@
 
 __all__ = ["IngressMetrics"]
 
-# Seconds; from a plain answer within one data centre to a stream of a minute.
+# Seconds.
 LATENCY_BUCKETS = (0.025, 0.05, 0.1, 0.2, 0.4, 0.8, 1.6, 3.2, 6.4, 12.8, 25.6, 51.2)
 
 
 class IngressMetrics:
-    """Everything one gateway counts, with the exposition for scraping."""
+    """The metrics of one gateway and their exposition."""
 
     def __init__(self):
         self.registry = Registry()
@@ -64,25 +64,25 @@
     def _gauge(self, name: str, text: str) -> Gauge:
         return Gauge(name, text, registry=self.registry)
 
-    def ended(self, request, outcome: str, seconds: float) -> None:
+    def count_request(self, request, outcome: str, seconds: float) -> None:
         kind = request.route.kind.value if request else "unmatched"
         self.requests.inc({"kind": kind, "outcome": outcome})
         self.latency.observe({"kind": kind}, seconds)
 
-    def believes(self, holder: RouteHolder, failures_by_kind: dict[str, int]) -> None:
-        """Take in the configuration in force and how the watches fare."""
+    def update_configuration(self, holder: RouteHolder, failures_by_kind: dict[str, int]) -> None:
+        """Update the gauges of the configuration in force and of failing watches."""
         self.configuration.set({}, holder.version or 0)
-        self.configurations_older.set({}, holder.older)
+        self.configurations_older.set({}, holder.older_count)
         for kind, failures in failures_by_kind.items():
             self.watch_failures.set({"kind": kind}, failures)
 
-    def suspects(self, book: CrashTracker) -> None:
-        """Take in what is known of requests that crash endpoints."""
-        self.crashes.set({}, sum(end.confirmed for end in book.endpoint_crashes))
-        self.quarantined.set({}, len(book.quarantined_fingerprints()))
+    def update_quarantine(self, tracker: CrashTracker) -> None:
+        """Update the gauges of endpoint crashes and quarantined requests."""
+        self.crashes.set({}, sum(crash.confirmed for crash in tracker.endpoint_crashes))
+        self.quarantined.set({}, len(tracker.quarantined_fingerprints()))
 
-    def spent(self, traffic) -> None:
-        """Take in a :class:`~guavacleat.ingress.sources.ControlTraffic`."""
+    def update_control_traffic(self, traffic) -> None:
+        """Update the gauges from a :class:`~guavacleat.ingress.sources.ControlTraffic`."""
         for type, calls in traffic.calls_by_type.items():
             self.store_calls.set({"type": type}, calls)
         self.store_era.set({}, traffic.store_era)
@@ -90,6 +90,6 @@
             self.report_bytes.set({"scope": scope}, sent)
 
     def exposition(self) -> bytes:
-        """The Prometheus text."""
+        """The metrics in Prometheus text format."""
         body, _ = render(self.registry, [])
         return body
--- a/src/guavacleat/ingress/service.py
+++ b/src/guavacleat/ingress/service.py
@@ -1,4 +1,4 @@
-"""The ingress gateway as a process: start, readiness, reload, graceful stop."""
+"""The ingress gateway process: start, readiness, reload, graceful stop."""
 
 from eliot import log_message
 from twisted.internet import defer, task
@@ -25,15 +25,15 @@
 
 __all__ = ["IngressService"]
 
-# Share of the process's memory that request bodies may hold.
-BODIES_SHARE = 0.2
-# Part of the stop's grace that is left for the last answers to go out.
+# Share of the process's memory for buffered request bodies.
+BODY_MEMORY_SHARE = 0.2
+# Part of the stop grace reserved for sending the last responses.
 STOP_RESERVE_SECONDS = 0.5
-# The balancer notices within two questions, a second apart; callers that it sends until then are
-# still served.
+# Minimum duration of a stop: requests are served until the balancer notices it, which takes two
+# readiness checks, 1 s apart.
 STOP_NOTICE_SECONDS = 3.0
 STOP_POLL_SECONDS = 0.1
-# Connections waiting to be accepted; callers of a surge come within one turn of the loop.
+# A burst of connections may arrive within one iteration of the event loop.
 LISTEN_BACKLOG = 512
 OK = 200
 NOT_READY = 503
@@ -44,11 +44,9 @@
 class IngressService:
     """One gateway process.
 
-    :param settings: :class:`ProcessSettings`.
-    :param wire: header names, a :class:`~guavacleat.forwarding.wire.Wire`.
-    :param source: where it learns routes and endpoints, see ``ingress.sources``.
-    :param readiness_path: where the balancer asks whether to send more.
-    :param metrics_port: where ``/metrics`` is served; None for nowhere.
+    :param source: provides routes and endpoints, see ``ingress.sources``.
+    :param readiness_path: path of the balancer's readiness check.
+    :param metrics_port: additional port that serves ``/metrics``; None for none.
     """
 
     def __init__(
@@ -93,8 +91,8 @@
             quarantine=quarantine,
         )
         self.context = context
-        bodies = int(settings.limits.memory_bytes * BODIES_SHARE)
-        self.dispatch = Dispatch(self.holder, context, self.metrics, bodies, self.peers)
+        max_body_bytes = int(settings.limits.memory_bytes * BODY_MEMORY_SHARE)
+        self.dispatch = Dispatch(self.holder, context, self.metrics, max_body_bytes, self.peers)
         self.evacuator = Evacuator(context, self.dispatch.sessions)
         self.endpoint_poll = EndpointStatusPoller(
             reactor,
@@ -106,7 +104,7 @@
             settings.instance,
         )
         self.caller_listener = CallerListener(reactor, self.dispatch.handle, self._caller_limits)
-        self.questions = CallerListener(reactor, self._answer_question, CallerLimits)
+        self.status_listener = CallerListener(reactor, self._answer_status_request, CallerLimits)
         self.ports = []
 
     def _endpoint_leaving(self, entry) -> None:
@@ -116,11 +114,11 @@
         self.pool.drop(entry.address)
         self.evacuator.endpoint_leaving(entry)
 
-    def _endpoint_restarted(self, former) -> None:
-        self.context.quarantine.endpoint_removed(former.id, announced=False)
-        self.load.forget(former.id)
-        self.pool.drop(former.address)
-        self.evacuator.endpoint_restarted(former)
+    def _endpoint_restarted(self, previous) -> None:
+        self.context.quarantine.endpoint_removed(previous.id, announced=False)
+        self.load.forget(previous.id)
+        self.pool.drop(previous.address)
+        self.evacuator.endpoint_restarted(previous)
 
     def _caller_limits(self) -> CallerLimits:
         table = self.holder.table
@@ -128,7 +126,7 @@
 
     @property
     def ready(self) -> bool:
-        """Whether the balancer should send callers here."""
+        """Whether the balancer should send requests here."""
         return (
             not self.stopping
             and self.holder.table is not None
@@ -137,17 +135,17 @@
 
     @property
     def caller_port(self) -> int:
-        """The port that callers' connections arrive at, once started."""
+        """The port for callers, once started."""
         return self.ports[0].getHost().port
 
     def start(self) -> None:
-        """Learn routes and endpoints, and listen."""
+        """Start the source and listen."""
         self.source.start(self)
         self.endpoint_poll.start()
         self._listen(self.settings.caller_address, self.caller_listener)
-        self._listen(self.settings.readiness_address, self.questions)
+        self._listen(self.settings.readiness_address, self.status_listener)
         if self.metrics_port is not None:
-            self._listen((self.settings.ip, self.metrics_port), self.questions)
+            self._listen((self.settings.ip, self.metrics_port), self.status_listener)
         log_message(
             message_type="process:started",
             instance=self.settings.instance,
@@ -160,7 +158,7 @@
             self.reactor.listenTCP(port, factory, backlog=LISTEN_BACKLOG, interface=host)
         )
 
-    def _answer_question(self, exchange: CallerExchange) -> None:
+    def _answer_status_request(self, exchange: CallerExchange) -> None:
         path = exchange.head.path
         if path == self.readiness_path:
             exchange.answer(OK if self.ready else NOT_READY, [], b"")
@@ -170,30 +168,30 @@
             exchange.answer(NOT_FOUND, [], b"")
 
     def _exposition(self) -> bytes:
-        self.metrics.believes(self.holder, self.source.failures_by_kind())
-        self.metrics.suspects(self.crashes)
-        self.metrics.spent(self.source.control_traffic())
+        self.metrics.update_configuration(self.holder, self.source.failures_by_kind())
+        self.metrics.update_quarantine(self.crashes)
+        self.metrics.update_control_traffic(self.source.control_traffic())
         return self.metrics.exposition()
 
     def reload(self, settings: ProcessSettings) -> None:
-        """Take in changed settings: the bounds; addresses stay until the next start."""
+        """Apply changed settings: the bounds; addresses change only at the next start."""
         self.settings = settings
         self.context.budget.bounds = settings.bounds
         log_message(message_type="process:reloaded", instance=settings.instance)
 
     def settings_refused(self, error: SettingsError) -> None:
-        """Changed settings could not be used: those in force stay."""
+        """Log that changed settings were invalid; the current ones stay in force."""
         log_message(message_type="process:settings-refused", error=str(error))
 
     @defer.inlineCallbacks
     def stop(self):
-        """Graceful stop: no longer ready, serve what comes and what runs, then close."""
+        """Stop gracefully: report not ready, serve new and running requests, then close."""
         self.stopping = True
         self.caller_listener.closing = True
         began = self.reactor.seconds()
         log_message(message_type="process:stopping", in_flight=self.dispatch.in_flight)
         grace = self.settings.bounds.stop_grace - STOP_RESERVE_SECONDS
-        self.dispatch.stop_at(began + grace)
+        self.dispatch.begin_stop(began + grace)
         self.source.announce_stop(began + grace)
         while True:
             waited = self.reactor.seconds() - began
--- a/src/guavacleat/ingress/sources.py
+++ b/src/guavacleat/ingress/sources.py
@@ -1,4 +1,4 @@
-"""Where an ingress learns its routes and endpoints: the platform's store, or a routes file."""
+"""Sources of routes and endpoints for an ingress: the platform's store or a routes file."""
 
 import random
 
@@ -19,29 +19,28 @@
 
 __all__ = ["ControlTraffic", "FileSource", "StoreSource"]
 
-# A watch waits this long for a change. A store that goes silent shows only by an answer that does
-# not come; this and the call's own time-out bound how long a gateway can be deaf. The time-out
-# counts from the last byte, as answers may take seconds of a thin link.
+# Long-poll time of a watch. A silent store is noticed when this and the call's timeout have passed.
+# The timeout counts from the last byte received: on a slow link a response may take seconds.
 WATCH_SECONDS = 2.0
 STORE_CALL_SECONDS = 0.8
-# Longest pause between attempts to reach the store: within the time in which a configuration must
-# be in force after an outage.
+# Maximum backoff of calls to the store; short enough to apply a configuration in time after an
+# outage.
 STORE_BACKOFF_SECONDS = 0.5
-# The same for a gateway that leaves trying to others, who tell when the store is back.
+# The same for a gateway that does not watch: watching peers report when the store is back.
 UNREACHABLE_RETRY_SECONDS = 1.5
-# Longest pause of a gateway that shares listening with others, between hearing of endpoints and
-# asking for more: short against an engine's notice, and some other listener hears meanwhile.
-SHARED_PAUSE_SECONDS = 1.0
-# So few gateways listen without a pause.
-FEW_GATEWAYS = 8
-# Gateways of each data centre that read the record of refused requests when all start.
+# Maximum pause between endpoint watches of a gateway that shares watching with peers; shorter than
+# an engine's notice before it leaves.
+MAX_WATCH_PAUSE_SECONDS = 1.0
+# Up to this many gateways watch without a pause.
+MAX_GATEWAYS_WITHOUT_PAUSE = 8
+# Gateways per data centre that read the quarantine record from the store.
 QUARANTINE_READERS = 2
 
 
 class ControlTraffic:
-    """Calls of the store by type, and bytes of reports to peers by how far they went.
+    """Calls to the store by type, and bytes of reports to peers by scope.
 
-    :param store_era: the store's latest era that is known.
+    :param store_era: the latest known era of the store.
     """
 
     __slots__ = ("calls_by_type", "bytes_by_scope", "store_era")
@@ -55,7 +54,7 @@
 
 
 class StoreSource:
-    """Follows configuration and endpoints in the store, and trades reports with other gateways.
+    """Watches configuration and endpoints in the store, and exchanges reports with peers.
 
     :param adapter: names and formats of the platform: ``dialect``, ``config_kind``,
         ``config_name``, ``endpoint_kind``, ``decode_configuration(spec)`` and
@@ -79,7 +78,7 @@
         self.port = None
 
     def start(self, ingress) -> None:
-        """Begin to follow, on behalf of an :class:`~.service.IngressService`."""
+        """Start watching for an :class:`~.service.IngressService`."""
         self.holder, self.registry, self.peers = ingress.holder, ingress.registry, ingress.peers
         self.endpoints = EndpointSyncState(self.reactor)
         self.configuration = ConfigurationSyncState(self.reactor, lambda: self.holder.version)
@@ -98,18 +97,18 @@
             self._configuration_changed,
             on_health=self.registry.record_store_call,
             on_revision=lambda revision: self.configuration.record_store_answer(),
-            is_suspended=self._configuration_watch_rests,
+            is_suspended=self._configuration_watch_suspended,
             newest_only=True,
         )
         self.configuration.on_newer = self.configuration_watch.recheck
         self.endpoint_watch = self._watch(
             self.adapter.endpoint_kind,
             self._endpoint_changed,
-            pause=self._pause,
+            pause=self._endpoint_watch_pause,
             on_health=self.registry.record_store_health,
             on_listed=self._endpoints_listed,
             on_revision=self.endpoints.record_store_answer,
-            is_suspended=self._endpoint_watch_rests,
+            is_suspended=self._endpoint_watch_suspended,
         )
         self.exchange = PeerExchange(
             self.reactor,
@@ -120,10 +119,10 @@
             self.configuration,
             self.endpoints,
             ingress.crashes,
-            self._heard_peer,
+            self._peer_report_received,
         )
         self.record = QuarantineRecord(
-            self.reactor, self.store, ingress.crashes, self._reads_quarantine
+            self.reactor, self.store, ingress.crashes, self._should_read_quarantine
         )
         self.record.start()
         self.store.era_listeners.append(self._store_restored)
@@ -133,39 +132,39 @@
         host, port = self.address
         self.port = self.reactor.listenUDP(port, self.exchange, interface=host)
 
-    def _reads_quarantine(self) -> bool:
-        """Whether this gateway reads the record of refused requests, for its neighbours too."""
+    def _should_read_quarantine(self) -> bool:
+        """Whether this gateway reads the quarantine record, also on behalf of its peers."""
         members = [self.instance, *(report.instance for report in self.peers.alive())]
         return self.instance in select_members(members, "quarantine", QUARANTINE_READERS)
 
-    def _configuration_watch_rests(self) -> bool:
-        """Whether peers tell enough of the configuration for now."""
+    def _configuration_watch_suspended(self) -> bool:
+        """Whether reports from peers suffice to keep the configuration up to date."""
         if self.should_watch():
             return False
-        return not self.configuration.must_query_store() or self._others_try(
+        return not self.configuration.must_query_store() or self._peers_retry(
             self.configuration_watch
         )
 
-    def _others_try(self, watch: WatchLoop) -> bool:
-        """Whether the store did not answer lately, so that trying again is left to listeners."""
+    def _peers_retry(self, watch: WatchLoop) -> bool:
+        """Whether the last call failed recently, so that retries are left to watching peers."""
         since = self.reactor.seconds() - watch.called_at
         return watch.failures > 0 and since < UNREACHABLE_RETRY_SECONDS
 
-    def _endpoint_watch_rests(self) -> bool:
-        """Whether peers tell enough of the endpoints for now."""
+    def _endpoint_watch_suspended(self) -> bool:
+        """Whether reports from peers suffice to keep the endpoints up to date."""
         if store_silence(self.registry, self.peers) > STORE_SILENCE_SECONDS:
             self.registry.record_store_silence()
         if self.should_watch():
             return False
-        if self._others_try(self.endpoint_watch):
+        if self._peers_retry(self.endpoint_watch):
             return True
         if self.endpoints.must_query_store():
             return False
         if not self.registry.entries_by_id:
-            # Nothing to serve callers with yet.
+            # No endpoints are known yet.
             return False
         if self.registry.lapsed_ids:
-            # Peers that kept an endpoint tell nothing when it registers again.
+            # Peers that kept an endpoint do not report when it registers again.
             return False
         if self.endpoints.relist_is_due():
             self.endpoint_watch.relist()
@@ -173,7 +172,7 @@
         return True
 
     def _store_restored(self, era: int) -> None:
-        """The store came back from a copy: what it has lost is written again."""
+        """Rewrite this gateway's objects after the store was restored from a backup."""
         del era
         self.registry.store_restored()
         self.exchange.store_restored()
@@ -182,8 +181,8 @@
     def _endpoints_listed(self, ids: set[str]) -> None:
         self.registry.observe_listing(ids, self.endpoint_watch.revision)
 
-    def _heard_peer(self) -> None:
-        """Take in, after a peer's report, how far the endpoints' changes are known."""
+    def _peer_report_received(self) -> None:
+        """Advance the endpoint watch to the revision known after a peer's report."""
         if era := self.endpoints.latest_reported_era():
             self.store.observe_era(era)
         if self.endpoints.revision is not None:
@@ -191,7 +190,7 @@
             self.registry.record_store_reached_by_peer(self.endpoints.as_of)
 
     def announce_stop(self, stops_at: float) -> None:
-        """Tell the other gateways that this one ends at a clock time at the latest."""
+        """Tell peers the clock time at which this process ends at the latest."""
         self.exchange.announce_stop(stops_at)
 
     def stop(self) -> None:
@@ -202,11 +201,11 @@
         self.port.stopListening()
 
     def failures_by_kind(self) -> dict[str, int]:
-        """For each kind of object that is followed, calls in a row that brought no answer."""
+        """Consecutive failed calls of each watch, by kind of object."""
         return {watch.kind: watch.failures for watch in self.watches}
 
     def control_traffic(self) -> ControlTraffic:
-        """What following the store and telling peers took so far."""
+        """The control traffic so far: store calls and reports to peers."""
         era = self.store.era or 0
         return ControlTraffic(self.store.calls_by_type, self.exchange.bytes_by_scope, era)
 
@@ -214,17 +213,17 @@
         """Gateways that share the retry budget, this one included."""
         return self.exchange.gateway_count() if self.exchange else 1
 
-    def _pause(self) -> float:
-        """Seconds between hearing of endpoints and asking for more.
+    def _endpoint_watch_pause(self) -> float:
+        """Seconds between two endpoint watches.
 
-        Each change wakes the watches of all listeners, and each call is paid for. What one hears
-        it tells the others.
+        Each change completes the watches of all watching gateways. With random pauses fewer calls
+        are made, as the gateway that receives a change reports it to its peers.
         """
-        if self.gateway_count() <= FEW_GATEWAYS:
+        if self.gateway_count() <= MAX_GATEWAYS_WITHOUT_PAUSE:
             return 0.0
-        return random.uniform(0.0, SHARED_PAUSE_SECONDS)
+        return random.uniform(0.0, MAX_WATCH_PAUSE_SECONDS)
 
-    def _watch(self, kind: str, on_object, **listeners) -> WatchLoop:
+    def _watch(self, kind: str, on_object, **watch_options) -> WatchLoop:
         return WatchLoop(
             self.reactor,
             self.store,
@@ -232,7 +231,7 @@
             on_object,
             wait=WATCH_SECONDS,
             backoff_max=STORE_BACKOFF_SECONDS,
-            **listeners,
+            **watch_options,
         )
 
     def _configuration_changed(self, stored) -> None:
@@ -252,7 +251,7 @@
 
 
 class FileSource:
-    """Reads routes and endpoints from a routes file, at the start and at each reload.
+    """Reads routes and endpoints from a routes file, on start and on each reload.
 
     :param load: returns the :class:`~guavacleat.routes.loader.RoutesFile`; raises SettingsError.
     """
@@ -265,29 +264,29 @@
         self.reload()
 
     def reload(self) -> None:
-        """Take in the file if its version is newer; endpoints that it no longer lists leave."""
-        found = self.load()
-        if not self.holder.offer(found.table):
-            log_message(message_type="config:not-newer", version=found.table.version)
+        """Apply the file if its version is newer; endpoints that it no longer lists are removed."""
+        routes_file = self.load()
+        if not self.holder.offer(routes_file.table):
+            log_message(message_type="config:not-newer", version=routes_file.table.version)
             return
-        for entry in found.endpoints:
+        for entry in routes_file.endpoints:
             self.registry.observe(entry)
-        self.registry.observe_listing({entry.id for entry in found.endpoints})
+        self.registry.observe_listing({entry.id for entry in routes_file.endpoints})
 
     def announce_stop(self, stops_at: float) -> None:
-        """There is nobody to tell."""
+        """Do nothing: there are no peers."""
 
     def stop(self) -> None:
-        """Nothing is followed."""
+        """Do nothing: there are no watches."""
 
     def failures_by_kind(self) -> dict[str, int]:
-        """No store is followed."""
+        """Return no counts: there are no watches."""
         return {}
 
     def control_traffic(self) -> ControlTraffic:
-        """Nobody is asked or told."""
+        """Return no traffic: there are neither store nor peers."""
         return ControlTraffic({}, {})
 
     def gateway_count(self) -> int:
-        """A gateway with a file knows of no others."""
+        """Return 1: there are no peers."""
         return 1
--- a/src/guavacleat/routes/__init__.py
+++ b/src/guavacleat/routes/__init__.py
@@ -1,4 +1,4 @@
-"""Routes, client accounts' keys and caller limits: what may be asked for, by whom, and where to."""
+"""Routing configuration: routes, services, client accounts and caller limits."""
 
 from guavacleat.routes.model import (
     Account,
--- a/src/guavacleat/routes/holder.py
+++ b/src/guavacleat/routes/holder.py
@@ -1,4 +1,4 @@
-"""The routing configuration in force in one process, which only ever moves forward."""
+"""The routing configuration in force in one process; it never goes back to an older version."""
 
 from eliot import log_message
 
@@ -8,37 +8,35 @@
 
 
 class RouteHolder:
-    """Holds the newest :class:`RouteTable` that was offered.
+    """Holds the newest :class:`RouteTable` received.
 
-    A watch may replay an old version after a gap or a stale read; applying it would revert the
-    operators' change, which callers would notice as a dropped route that works again. Versions
-    not newer than the one in force are therefore ignored.
+    A watch may replay an old version after a gap or a stale read, so versions that are not newer
+    than the one in force are ignored. They are ordered by their version and not by the store's
+    revision: a delayed or racing write of an older version would revert a confirmed one.
 
-    The store's revision could order them too, but it grows with each write: an operator's write
-    of an older version, done late by the store or racing a newer one, would revert what had been
-    confirmed. The price is that one version far too high hides all later ones. Gateways would then
-    keep an old configuration with no sign of it; ``config:older`` and :attr:`older` show it.
+    A version that is far too high by mistake hides all later ones; ``config:older`` and
+    :attr:`older_count` show that.
 
-    :ivar ignored: offers that were not newer.
-    :ivar older: offers that were older than what was in force.
+    :ivar ignored_count: number of versions ignored as not newer.
+    :ivar older_count: number of those that were older than the one in force.
     """
 
     def __init__(self):
         self.table: RouteTable | None = None
-        self.ignored = 0
-        self.older = 0
+        self.ignored_count = 0
+        self.older_count = 0
 
     @property
     def version(self) -> int | None:
-        """The version in force, None while there is none."""
+        """The version in force; None without a configuration."""
         return None if self.table is None else self.table.version
 
     def offer(self, table: RouteTable) -> bool:
-        """Take in a configuration; return True if it is now in force."""
+        """Put a configuration in force if it is newer; return whether it was."""
         if self.table is not None and table.version <= self.table.version:
-            self.ignored += 1
+            self.ignored_count += 1
             if table.version < self.table.version:
-                self.older += 1
+                self.older_count += 1
                 log_message(
                     message_type="config:older",
                     version=table.version,
--- a/src/guavacleat/routes/model.py
+++ b/src/guavacleat/routes/model.py
@@ -1,4 +1,4 @@
-"""The routing configuration in force, as plain classes; times are in seconds throughout."""
+"""Data classes of the routing configuration; times are in seconds."""
 
 import enum
 import itertools
@@ -17,7 +17,7 @@
 
 
 class RequestKind(enum.Enum):
-    """What may be repeated: only an idempotent request may run more than once."""
+    """The kind of a route's requests; only idempotent ones may run more than once."""
 
     IDEMPOTENT = "idempotent"
     NON_IDEMPOTENT = "non_idempotent"
@@ -25,7 +25,7 @@
 
 
 class Backend:
-    """A service that takes ``weight`` parts of a route's requests."""
+    """A service that receives a share of a route's requests, by ``weight``."""
 
     __slots__ = ("service", "weight")
 
@@ -37,11 +37,11 @@
 class Route:
     """Requests to ``host`` whose path begins with ``path_prefix``.
 
-    :param timeout: longest time a caller may be kept waiting.
-    :param latency_goal: time to the answer (streams: to the first event) that is on time.
-    :param gap_goal: longest pause between a stream's events that is on time; None off streams.
-    :param max_attempts: endpoints that one request may run on.
-    :param priority: rank, 0 is the most urgent.
+    :param timeout: deadline of a request, from its arrival.
+    :param latency_goal: target time to the response (streams: to the first event).
+    :param gap_goal: target for the longest pause between a stream's events; None if not a stream.
+    :param max_attempts: maximum number of endpoints that one request may run on.
+    :param priority: 0 is the highest.
     :param public: true if callers need no key.
     """
 
@@ -85,24 +85,24 @@
         self.priority = priority
         self.public = public
 
-    def pick_service(self, draw: random.Random) -> str:
-        """One of the route's services, drawn by weight."""
+    def pick_service(self, rng: random.Random) -> str:
+        """Pick one of the route's services at random, by weight."""
         if len(self.backends) == 1:
             return self.backends[0].service
         weights = [backend.weight for backend in self.backends]
-        return draw.choices(self.backends, weights)[0].service
+        return rng.choices(self.backends, weights)[0].service
 
 
 class EngineTraits:
-    """What the model engines of a service have in common.
+    """Properties shared by the model engines of a service.
 
     :param slots: generations in one batch.
-    :param memory_tokens: tokens that fit an engine's memory.
+    :param memory_tokens: capacity of an engine's memory in tokens.
     :param token_bytes: bytes of engine memory per token.
-    :param link_mbps: megabits per second between engines.
-    :param tokens_per_event: tokens in one event of a stream.
-    :param moves: whether a running generation can be moved to another engine.
-    :param backups: whether a running generation can be copied to another engine as it grows.
+    :param link_mbps: bandwidth between engines in Mbit/s.
+    :param tokens_per_event: tokens per stream event.
+    :param moves: whether a running generation can migrate to another engine.
+    :param backups: whether a running generation can be replicated to another engine.
     """
 
     __slots__ = (
@@ -128,7 +128,7 @@
 
 
 class ServiceTraits:
-    """A service; ``engine`` is None for a plain one."""
+    """Properties of a service; ``engine`` is None for a plain one."""
 
     __slots__ = ("name", "max_connections", "engine")
 
@@ -139,7 +139,7 @@
 
 
 class Account:
-    """A client account; ``priority`` replaces a route's where it is not None."""
+    """A client account; ``priority`` overrides the route's unless it is None."""
 
     __slots__ = ("name", "priority")
 
@@ -149,7 +149,7 @@
 
 
 class CallerLimits:
-    """Bounds on what one caller may send (bytes), and how long it may take or stay idle."""
+    """Limits on the size (bytes) and duration (seconds) of a caller's requests."""
 
     __slots__ = ("max_header_bytes", "max_body_bytes", "header_timeout", "idle_timeout")
 
@@ -169,7 +169,7 @@
 class RouteTable:
     """One version of the routing configuration; looked up by host, path and key.
 
-    :param keyed: true if callers of routes that are not public must show a known key.
+    :param requires_key: true if callers need a known key for routes that are not public.
     """
 
     __slots__ = (
@@ -202,7 +202,7 @@
         self.requires_key = requires_key
 
     def match(self, host: str, path: str) -> Route | None:
-        """The route of ``host`` with the longest prefix that begins ``path``."""
+        """The route of ``host`` with the longest prefix of ``path``."""
         routes = self.routes_by_host.get(host, ())
         return next((route for route in routes if path.startswith(route.path_prefix)), None)
 
--- a/tests/ingress/test_dispatch.py
+++ b/tests/ingress/test_dispatch.py
@@ -1,11 +1,11 @@
-"""Which answer when: no configuration, no route, no key, held bytes, errors of our own."""
+"""Responses of the dispatch: refusals, stop, internal errors, and its log lines."""
 
 import pytest
 from eliot import add_destinations, remove_destination
 
 from guavacleat.http1.messages import RequestHead
 from guavacleat.http1.server import CallerExchange
-from guavacleat.ingress.dispatch import LAST_STREAM_SECONDS, Dispatch
+from guavacleat.ingress.dispatch import STOP_ACCEPT_STREAMS_SECONDS, Dispatch
 from guavacleat.ingress.metrics import IngressMetrics
 from guavacleat.peers import PeerTable
 from guavacleat.peers.report import GatewayReport
@@ -56,7 +56,7 @@
     return Dispatch(holder, harness.context, IngressMetrics(), 100, PeerTable(harness.clock))
 
 
-def ask(dispatch, path="/keyed/x", key=b"k1", host=b"h:80", body=b""):
+def send_request(dispatch, path="/keyed/x", key=b"k1", host=b"h:80", body=b""):
     caller = FakeCaller()
     headers = [(b"host", host), (b"id", b"r1"), (b"key", key)]
     dispatch.handle(CallerExchange(caller, RequestHead(b"GET", path.encode(), headers), body))
@@ -64,26 +64,20 @@
 
 
 @pytest.mark.parametrize("path,key", [("/added/x", b"k1"), ("/keyed/x", b"added")])
-def test_a_gateway_that_is_behind_turns_nobody_away_for_good(dispatch, clock, path, key):
-    """
-    Symptom: callers of a route or with a key that a confirmed version added get 404 or 401 now and
-    then, which ends their request for good.
-    Sequence: one gateway, on a thin link or cut off from the store, still has the version before;
-    the balancer sends it a caller.
-    Cause: it answered by its own version, although its peers had told a newer one.
-    """
+def test_unknown_route_or_key_is_retryable_if_a_peer_is_newer(dispatch, clock, path, key):
+    """A gateway with an outdated configuration must not refuse a new route or key for good."""
     dispatch.peers.observe(GatewayReport("g2", 1, 1, {}, configuration=2))
-    caller = ask(dispatch, path, key)
+    caller = send_request(dispatch, path, key)
     assert caller.head[0] == 503
     dispatch.holder.offer(table(version=2))
-    assert ask(dispatch, path, key).head[0] in (404, 401)
+    assert send_request(dispatch, path, key).head[0] in (404, 401)
     dispatch.peers.observe(GatewayReport("g2", 1, 2, {}, configuration=3))
     clock.advance(60)
-    assert ask(dispatch, path, key).head[0] in (404, 401), "of a peer that is gone"
+    assert send_request(dispatch, path, key).head[0] in (404, 401), "expired peer"
 
 
-def test_a_known_key_reaches_an_endpoint(dispatch, harness):
-    caller = ask(dispatch)
+def test_request_with_a_known_key_is_forwarded(dispatch, harness):
+    caller = send_request(dispatch)
     harness.pool.connections[0].answer(body=b"ok")
     assert (caller.head[0], caller.data) == (200, b"ok")
 
@@ -97,66 +91,55 @@
 
 
 @pytest.mark.parametrize("request_changes,status", ANSWERS)
-def test_what_the_configuration_does_not_allow_is_refused(
-    dispatch, harness, request_changes, status
-):
-    caller = ask(dispatch, **request_changes)
+def test_unknown_route_or_key_is_refused(dispatch, harness, request_changes, status):
+    caller = send_request(dispatch, **request_changes)
     assert caller.head[0] == status and caller.complete
     assert harness.pool.connections == []
 
 
-def test_a_public_route_asks_for_no_key(dispatch, harness):
-    ask(dispatch, path="/open/x", key=b"k9")
+def test_public_route_needs_no_key(dispatch, harness):
+    send_request(dispatch, path="/open/x", key=b"k9")
     assert len(harness.pool.connections) == 1
 
 
-def test_without_configuration_nothing_is_denied(harness):
-    """
-    Symptom: callers are told that a route does not exist, right after a restart.
-    Sequence: a gateway starts while the store is away; a request for a known route comes.
-    Cause: a gateway that knows no configuration can only ask the caller to come back.
-    """
+def test_request_without_a_configuration_is_retryable(harness):
+    """A gateway that starts while the store is unreachable must not deny that a route exists."""
     dispatch = Dispatch(
         RouteHolder(), harness.context, IngressMetrics(), 100, PeerTable(harness.clock)
     )
-    caller = ask(dispatch)
+    caller = send_request(dispatch)
     assert caller.head[0] == 503
     assert float(caller.head[1][b"retry-after"]) > 0
 
 
-def test_bodies_beyond_the_bound_are_refused_as_not_run(dispatch):
-    ask(dispatch, body=b"x" * 80)
-    caller = ask(dispatch, body=b"x" * 80)
+def test_request_over_the_buffer_limit_is_refused_as_not_run(dispatch):
+    send_request(dispatch, body=b"x" * 80)
+    caller = send_request(dispatch, body=b"x" * 80)
     assert caller.head[0] == 503
-    assert dispatch.held_bytes == 80
-
-
-def test_a_stopping_gateway_takes_only_what_it_can_finish(dispatch, harness):
-    """
-    Symptom: a request that came seconds after SIGTERM ends with a closed connection.
-    Sequence: all gateways of a data centre are stopped in turn, so callers are sent to stopping
-    ones too; a stream comes three seconds after SIGTERM and is cut when the process ends.
-    Cause: what cannot be finished must be refused as not run, so that another gateway gets it.
-    """
-    dispatch.stop_at(harness.clock.seconds() + 7.5)
-    harness.clock.advance(LAST_STREAM_SECONDS + 0.1)
-    caller = ask(dispatch, path="/stream/x")
+    assert dispatch.buffered_body_bytes == 80
+
+
+def test_stopping_gateway_refuses_what_it_cannot_finish(dispatch, harness):
+    """A request that cannot finish before the process ends must be refused as not run."""
+    dispatch.begin_stop(harness.clock.seconds() + 7.5)
+    harness.clock.advance(STOP_ACCEPT_STREAMS_SECONDS + 0.1)
+    caller = send_request(dispatch, path="/stream/x")
     assert caller.head[0] == 503
     assert float(caller.head[1][b"retry-after"]) > 0
-    ask(dispatch)
+    send_request(dispatch)
     harness.pool.connections[0].answer(body=b"ok")
-    harness.clock.advance(7.5 - LAST_STREAM_SECONDS - 0.6)
-    assert ask(dispatch).head[0] == 503
+    harness.clock.advance(7.5 - STOP_ACCEPT_STREAMS_SECONDS - 0.6)
+    assert send_request(dispatch).head[0] == 503
 
 
-def test_a_stopping_gateway_takes_a_short_stream_at_first(dispatch, harness):
-    dispatch.stop_at(harness.clock.seconds() + 7.5)
-    ask(dispatch, path="/stream/x")
+def test_stopping_gateway_accepts_a_short_stream_at_first(dispatch, harness):
+    dispatch.begin_stop(harness.clock.seconds() + 7.5)
+    send_request(dispatch, path="/stream/x")
     assert len(harness.pool.connections) == 1
 
 
-def test_a_stopping_gateway_refuses_a_long_stream_at_once(dispatch, harness, monkeypatch):
-    dispatch.stop_at(harness.clock.seconds() + 7.5)
+def test_stopping_gateway_refuses_a_long_stream_at_once(dispatch, harness, monkeypatch):
+    dispatch.begin_stop(harness.clock.seconds() + 7.5)
     parse = harness.context.wire.parse_request_metadata
 
     def long(headers):
@@ -165,28 +148,24 @@
         return found
 
     monkeypatch.setattr(harness.context.wire, "parse_request_metadata", long)
-    assert ask(dispatch, path="/stream/x").head[0] == 503
+    assert send_request(dispatch, path="/stream/x").head[0] == 503
 
 
-def test_an_error_of_our_own_promises_nothing(dispatch, monkeypatch):
-    """
-    Symptom: a caller repeats a request that has run, after an answer that said it had not.
-    Sequence: the gateway itself fails in the middle of a request.
-    Cause: the request may have been sent; only 502 claims nothing.
-    """
+def test_internal_error_is_answered_with_502(dispatch, monkeypatch):
+    """The request may have run, so the response must not say that it has not."""
 
     async def fail(request):
         raise RuntimeError("defect")
 
     monkeypatch.setattr(dispatch.plain, "forward", fail)
-    caller = ask(dispatch)
+    caller = send_request(dispatch)
     assert caller.head[0] == 502
     assert dispatch.in_flight == 0
 
 
 def test_requests_are_counted_by_outcome(dispatch, harness):
-    ask(dispatch, key=b"k9")
-    ask(dispatch)
+    send_request(dispatch, key=b"k9")
+    send_request(dispatch)
     harness.pool.connections[0].answer(body=b"ok")
     text = dispatch.metrics.exposition().decode()
     assert 'outcome="UNKNOWN_KEY"' in text
@@ -194,8 +173,8 @@
 
 
 @pytest.fixture
-def ends():
-    """The ``request:end`` lines written during the test."""
+def end_lines():
+    """The ``request:end`` lines logged during the test."""
     lines = []
 
     def keep(message):
@@ -203,46 +182,38 @@
             lines.append(message)
 
     add_destinations(keep)
-    # The first destination is given what was logged before there was one.
+    # eliot delivers messages buffered earlier to the first destination.
     lines.clear()
     yield lines
     remove_destination(keep)
 
 
-def test_a_refused_request_is_logged_with_its_id(dispatch, ends):
-    """
-    Symptom: nothing in the logs has the id of a request that a caller complains of.
-    Sequence: its key or route is not known.
-    Cause: the id was taken from the matched request, and none was matched.
-    """
-    ask(dispatch, key=b"k9")
-    [line] = ends
+def test_refused_request_is_logged_with_its_id(dispatch, end_lines):
+    """A request without a matching route or account must be found in the logs by its id."""
+    send_request(dispatch, key=b"k9")
+    [line] = end_lines
     assert (line["request"], line["outcome"]) == ("r1", "UNKNOWN_KEY")
 
 
-def test_a_cut_stream_is_not_logged_as_left_by_its_caller(dispatch, harness, ends):
-    """
-    Symptom: a cut stream is taken for one whose caller left.
-    Sequence: its endpoint breaks off in the middle; the gateway closes the caller's connection.
-    Cause: a closed connection was read as the caller's doing.
-    """
-    ask(dispatch, path="/stream/x")
-    side = harness.pool.connections[0]
-    side.begin()
-    side.body_bytes(encode_event(1))
-    side.break_off()
-    assert [line["outcome"] for line in ends] == ["CUT"]
+def test_stream_cut_by_its_endpoint_is_not_logged_as_a_disconnect(dispatch, harness, end_lines):
+    """The gateway closes the caller's connection when the endpoint fails in mid-stream."""
+    send_request(dispatch, path="/stream/x")
+    connection = harness.pool.connections[0]
+    connection.begin()
+    connection.body_bytes(encode_event(1))
+    connection.break_off()
+    assert [line["outcome"] for line in end_lines] == ["CUT"]
 
 
-def test_a_caller_that_closes_after_its_whole_answer_was_answered(dispatch, harness, ends):
-    caller = ask(dispatch)
+def test_disconnect_after_the_whole_response_counts_as_answered(dispatch, harness, end_lines):
+    caller = send_request(dispatch)
     caller.send_end = lambda: setattr(caller, "open", False)
     harness.pool.connections[0].answer(body=b"ok")
-    assert [line["outcome"] for line in ends] == ["ANSWERED"]
+    assert [line["outcome"] for line in end_lines] == ["ANSWERED"]
 
 
 STOPS = [
-    # (seconds until each peer's process ends, None: it is not being stopped; what is told)
+    # (seconds until each peer's process ends, None: it is not stopping; expected retry_after)
     ([], 7.5 + RESTART_SECONDS),
     ([None], 0.1),
     ([2.0, None], 0.1),
@@ -252,37 +223,27 @@
 
 
 @pytest.mark.parametrize("stops, retry_after", STOPS)
-def test_a_caller_is_told_when_a_gateway_is_back(
-    dispatch, harness, monkeypatch, stops, retry_after
-):
-    """
-    Symptom: callers are refused twice and give up while gateways are stopped in turn.
-    Sequence: all gateways are being stopped; each refuses a long stream and sends it on at once.
-    Cause: a stopping gateway did not know that the others were stopping too.
-    """
+def test_retry_after_covers_a_rolling_stop(dispatch, harness, monkeypatch, stops, retry_after):
+    """While all gateways are stopping, an immediate retry would be refused again."""
     for number, stops_in in enumerate(stops):
         dispatch.peers.observe(GatewayReport(f"g{number}", 1, 1, {}, stops_in=stops_in))
-    dispatch.stop_at(harness.clock.seconds() + 7.5)
+    dispatch.begin_stop(harness.clock.seconds() + 7.5)
     monkeypatch.setattr(dispatch.generation_speed, "seconds_per_token", 60.0)
     dispatch.holder.table.services_by_name["svc"] = ServiceTraits("svc", 10, ENGINE)
-    caller = ask(dispatch, path="/stream/x")
+    caller = send_request(dispatch, path="/stream/x")
     assert caller.head[0] == 503
     assert float(caller.head[1][b"retry-after"]) == pytest.approx(retry_after)
 
 
 @pytest.mark.parametrize("path, late", [("/open/x", True), ("/stream/x", False)])
-def test_an_answer_is_late_by_its_goal_and_a_stream_only_by_its_first_event(
-    dispatch, harness, ends, path, late
+def test_plain_response_is_late_over_its_goal_and_a_stream_is_not(
+    dispatch, harness, end_lines, path, late
 ):
-    """
-    Symptom: a report puts most streams down as late.
-    Sequence: a stream's first event comes at once, its last one after the route's goal.
-    Cause: the goal of a stream is for its first event.
-    """
-    ask(dispatch, path)
-    side = harness.pool.connections[0]
-    side.begin()
-    side.body_bytes(encode_event(1))
+    """A stream's latency goal applies to its first event, not to its end."""
+    send_request(dispatch, path)
+    connection = harness.pool.connections[0]
+    connection.begin()
+    connection.body_bytes(encode_event(1))
     harness.clock.advance(0.5)
-    side.end()
-    assert [line["late"] for line in ends] == [late]
+    connection.end()
+    assert [line["late"] for line in end_lines] == [late]
--- a/tests/ingress/test_metrics.py
+++ b/tests/ingress/test_metrics.py
@@ -1,4 +1,4 @@
-"""What the exposition tells of control traffic."""
+"""Metrics of control traffic."""
 
 from guavacleat.ingress.metrics import IngressMetrics
 from guavacleat.ingress.sources import ControlTraffic
@@ -6,14 +6,14 @@
 
 def test_store_calls_and_report_bytes_are_exposed():
     metrics = IngressMetrics()
-    metrics.spent(ControlTraffic({"watch": 7}, {"near": 900, "far": 40}))
+    metrics.update_control_traffic(ControlTraffic({"watch": 7}, {"near": 900, "far": 40}))
     lines = metrics.exposition().decode().splitlines()
     assert 'guavacleat_store_calls{type="watch"} 7' in lines
     assert 'guavacleat_report_bytes{scope="near"} 900' in lines
     assert 'guavacleat_report_bytes{scope="far"} 40' in lines
 
 
-def test_a_source_that_asks_nobody_exposes_nothing_of_it():
+def test_source_without_a_store_exposes_no_store_calls():
     metrics = IngressMetrics()
-    metrics.spent(ControlTraffic({}, {}))
+    metrics.update_control_traffic(ControlTraffic({}, {}))
     assert b"guavacleat_store_calls{" not in metrics.exposition()
--- a/tests/routes/test_routes.py
+++ b/tests/routes/test_routes.py
@@ -1,4 +1,4 @@
-"""Routes: the longest prefix wins, weights are kept, and configuration never goes back."""
+"""Route matching, weighted services, and the order of configuration versions."""
 
 import random
 from collections import Counter
@@ -20,7 +20,7 @@
     return RouteTable(version, list(routes), {}, {}, CallerLimits(), requires_key=False)
 
 
-def test_the_longest_prefix_of_the_host_wins():
+def test_longest_prefix_of_the_host_matches():
     routes = table([route("/a/"), route("/a/b/"), route("/a/b/c/", host="other")])
     assert routes.match("h", "/a/b/c/d").name == "/a/b/"
     assert routes.match("h", "/a/x").name == "/a/"
@@ -30,18 +30,14 @@
 
 def test_requests_are_split_by_weight():
     split = route("/", backends=(Backend("a", 90), Backend("b", 10)))
-    draw = random.Random(1)
-    counts = Counter(split.pick_service(draw) for _ in range(2000))
+    rng = random.Random(1)
+    counts = Counter(split.pick_service(rng) for _ in range(2000))
     assert 0.07 < counts["b"] / 2000 < 0.13
 
 
 @given(st.lists(st.integers(1, 50), min_size=1))
-def test_the_version_in_force_never_goes_back(versions):
-    """
-    Symptom: a dropped route works again, or a revoked key is let in.
-    Sequence: versions arrive in any order: a stale read, a replayed watch, a listing after a gap.
-    Cause: only a newer version than the one in force may be taken in.
-    """
+def test_version_in_force_never_decreases(versions):
+    """A stale read or a replayed watch must not restore a removed route or a revoked key."""
     holder, seen = RouteHolder(), []
     for version in versions:
         holder.offer(table(version=version))
@@ -50,23 +46,19 @@
     assert seen[-1] == max(versions)
 
 
-def test_an_older_version_that_the_store_holds_is_told_and_not_taken(monkeypatch):
-    """
-    Symptom: a gateway ignores every configuration that operators apply, without a sign of it.
-    Sequence: a version that is far too high by mistake is taken; the right one follows.
-    Cause: versions only move forward; what is left behind by that was not told.
-    """
+def test_older_version_is_ignored_and_logged(monkeypatch):
+    """A version that is too high by mistake hides later ones; the log must show this."""
     lines = []
     monkeypatch.setattr("guavacleat.routes.holder.log_message", lambda **line: lines.append(line))
     holder = RouteHolder()
     for version in (1 << 40, 8, 1 << 40):
         holder.offer(table(version=version))
-    assert (holder.table.version, holder.older, holder.ignored) == (1 << 40, 1, 2)
+    assert (holder.table.version, holder.older_count, holder.ignored_count) == (1 << 40, 1, 2)
     older = [line for line in lines if line["message_type"] == "config:older"]
     assert older == [{"message_type": "config:older", "version": 8, "in_force": 1 << 40}]
 
 
-def test_above_the_highest_version_there_is_always_another():
+def test_versions_beyond_64_bits_are_accepted():
     holder = RouteHolder()
     for version in (1 << 64, (1 << 64) + 1):
         assert holder.offer(table(version=version))
