--- a/src/guavacleat/ingress/service.py
+++ b/src/guavacleat/ingress/service.py
@@ -44,6 +44,7 @@
 class IngressService:
     """One gateway process.
 
+    :param wire: header names and formats.
     :param source: provides routes and endpoints, see ``ingress.sources``.
     :param readiness_path: path of the balancer's readiness check.
     :param metrics_port: additional port that serves ``/metrics``; None for none.
--- a/src/guavacleat/ingress/sources.py
+++ b/src/guavacleat/ingress/sources.py
@@ -92,7 +92,7 @@
             self.registry,
             directory.data_centre_count,
         )
-        self.configuration_watch = self._watch(
+        self.configuration_watch = self._new_watch(
             self.adapter.config_kind,
             self._configuration_changed,
             on_health=self.registry.record_store_call,
@@ -101,7 +101,7 @@
             newest_only=True,
         )
         self.configuration.on_newer = self.configuration_watch.recheck
-        self.endpoint_watch = self._watch(
+        self.endpoint_watch = self._new_watch(
             self.adapter.endpoint_kind,
             self._endpoint_changed,
             pause=self._endpoint_watch_pause,
@@ -121,10 +121,10 @@
             ingress.crashes,
             self._peer_report_received,
         )
-        self.record = QuarantineRecord(
+        self.quarantine_record = QuarantineRecord(
             self.reactor, self.store, ingress.crashes, self._should_read_quarantine
         )
-        self.record.start()
+        self.quarantine_record.start()
         self.store.era_listeners.append(self._store_restored)
         self.watches = [self.configuration_watch, self.endpoint_watch]
         for watch in self.watches:
@@ -176,7 +176,7 @@
         del era
         self.registry.store_restored()
         self.exchange.store_restored()
-        self.record.store_restored()
+        self.quarantine_record.store_restored()
 
     def _endpoints_listed(self, ids: set[str]) -> None:
         self.registry.observe_listing(ids, self.endpoint_watch.revision)
@@ -195,7 +195,7 @@
 
     def stop(self) -> None:
         self.exchange.stop()
-        self.record.stop()
+        self.quarantine_record.stop()
         for watch in self.watches:
             watch.stop()
         self.port.stopListening()
@@ -223,7 +223,7 @@
             return 0.0
         return random.uniform(0.0, MAX_WATCH_PAUSE_SECONDS)
 
-    def _watch(self, kind: str, on_object, **watch_options) -> WatchLoop:
+    def _new_watch(self, kind: str, on_object, **watch_options) -> WatchLoop:
         return WatchLoop(
             self.reactor,
             self.store,
