--- a/benchmarks/control_cost.py
+++ b/benchmarks/control_cost.py
@@ -21,7 +21,7 @@
 from guavacleat.admission.dispatcher import Dispatcher
 from guavacleat.config.model import Limits
 from guavacleat.membership import EndpointRecord, MembershipView
-from guavacleat.metrics import LatencyBook
+from guavacleat.metrics import LatencyHistograms
 from guavacleat.protocol.gen.sidecar.ttypes import CacheEvent, Digest, Occupancy
 from guavacleat.routing import get_router_by_name
 from guavacleat.sidecar.handler import MAX_DIGEST_EVENTS
@@ -150,7 +150,7 @@
     print("streams  report us  fits us")
     for streams, report, fits in occupancy_rows():
         print(f"{streams:7}  {report * 1e6:9.1f}  {fits * 1e6:7.1f}")
-    book = LatencyBook()
+    book = LatencyHistograms()
 
     def fill_book():
         for n in range(HISTOGRAM_KEYS):
--- a/benchmarks/http_library.py
+++ b/benchmarks/http_library.py
@@ -18,7 +18,7 @@
 from twisted.web.resource import Resource
 from twisted.web.server import Site
 
-from guavacleat.http1.client import AnswerListener, EndpointConnection
+from guavacleat.http1.client import EndpointConnection, ResponseListener
 from guavacleat.http1.server import CallerListener
 from guavacleat.routes import CallerLimits
 
@@ -89,7 +89,7 @@
 def with_ingress_server():
     clock = Clock()
     listener = CallerListener(
-        clock, lambda exchange: exchange.answer(200, [], BODY), lambda: CallerLimits()
+        clock, lambda exchange: exchange.respond(200, [], BODY), lambda: CallerLimits()
     )
     connection = listener.buildProtocol(None)
     transport = StringTransport()
@@ -112,11 +112,11 @@
     caller.dataReceived(REQUEST)
     exchange = exchanges[0]
 
-    class Relay(AnswerListener):
-        def answer_began(self, head):
-            exchange.begin(200, b"OK", [])
+    class Relay(ResponseListener):
+        def response_started(self, head):
+            exchange.start_response(200, b"OK", [])
 
-        def answer_body(self, data):
+        def response_data_received(self, data):
             exchange.write(data)
 
     endpoint = EndpointConnection(lambda connection: None, lambda connection: None)
--- a/src/guavacleat/commands/demo.py
+++ b/src/guavacleat/commands/demo.py
@@ -69,7 +69,7 @@
         f" {again.status}, same answer={again.texts == first.texts}, runs on the service={runs}"
     )
     print("latency (seconds), per account and class:")
-    for row in system.gateway.metrics.book.summary():
+    for row in system.gateway.metrics.latencies.summary():
         print(
             f"  {row['measure']:4} {row['account']:20} {row['class']:11} n={row['count']:<4}"
             f" p50={row['p50']:.4f} p95={row['p95']:.4f} p99={row['p99']:.4f}"
--- a/src/guavacleat/forwarding/plain.py
+++ b/src/guavacleat/forwarding/plain.py
@@ -60,7 +60,7 @@
             if outcome in NOT_RUN_OUTCOMES:
                 continue
             runs += 1
-            if outcome is AttemptOutcome.STREAMED or request.exchange.gone:
+            if outcome is AttemptOutcome.STREAMED or request.exchange.disconnected:
                 return
             if outcome is AttemptOutcome.ANSWERED and not self._should_retry_failure(
                 request, response, runs
@@ -79,7 +79,7 @@
             return False
         return (
             runs < request.route.max_attempts
-            and not request.exchange.gone
+            and not request.exchange.disconnected
             and self.context.clock.seconds() < request.deadline
             and self.context.budget.may_retry(request.service)
         )
@@ -114,7 +114,7 @@
             self._log_attempt(request, entry, AttemptOutcome.UNREACHABLE, response, repr(exc))
             return AttemptOutcome.UNREACHABLE, response
         time_left = request.deadline - context.clock.seconds()
-        if time_left <= 0 or request.exchange.gone:
+        if time_left <= 0 or request.exchange.disconnected:
             connection.abandon()
             return AttemptOutcome.UNREACHABLE, response
         attempt_timeout = time_left
@@ -140,7 +140,7 @@
             timed_out.append(True)
             connection.abandon()
 
-        request.exchange.on_gone = connection.abandon
+        request.exchange.on_disconnect = connection.abandon
         timer = context.clock.callLater(attempt_timeout, expire)
         run = Run(request.metadata.id)
         context.load.begin(entry.id, run)
@@ -151,7 +151,7 @@
             outcome = await response.done
         finally:
             context.load.end(entry.id, run)
-            request.exchange.on_gone = None
+            request.exchange.on_disconnect = None
             if timer.active():
                 timer.cancel()
         return (
@@ -172,13 +172,13 @@
         if response.disconnected:
             quarantine.request_interrupted(request, entry.id, began)
         elif outcome is AttemptOutcome.ANSWERED or (
-            outcome is AttemptOutcome.STREAMED and not request.exchange.was_cut
+            outcome is AttemptOutcome.STREAMED and not request.exchange.aborted
         ):
             quarantine.request_completed(request)
         quarantine.run_finished(request)
 
     def _deliver(self, request: ForwardedRequest, response: CheckedResponse) -> None:
-        if request.exchange.gone:
+        if request.exchange.disconnected:
             return
         begin_response(request.exchange, response.head)
         if response.body:
--- a/src/guavacleat/forwarding/response.py
+++ b/src/guavacleat/forwarding/response.py
@@ -5,7 +5,7 @@
 from twisted.internet import defer
 
 from guavacleat.forwarding.messages import ResponseMetadata
-from guavacleat.http1.client import AnswerListener, BreakReason
+from guavacleat.http1.client import ResponseFailure, ResponseListener
 from guavacleat.http1.messages import ResponseHead, end_to_end_headers
 from guavacleat.http1.server import CallerExchange
 
@@ -66,10 +66,10 @@
 
 def begin_response(caller: CallerExchange, head: ResponseHead) -> None:
     """Start the caller's response with an endpoint's response head."""
-    caller.begin(head.status, head.reason, end_to_end_headers(head.headers))
+    caller.start_response(head.status, head.reason, end_to_end_headers(head.headers))
 
 
-class CheckedResponse(AnswerListener):
+class CheckedResponse(ResponseListener):
     """Fires ``done`` with an :class:`AttemptOutcome`; ``head`` and ``body`` hold the response.
 
     ``disconnected`` tells whether the endpoint closed the connection before the response was
@@ -93,7 +93,7 @@
     def body(self) -> bytes:
         return b"".join(self.chunks)
 
-    def answer_began(self, head):
+    def response_started(self, head):
         self.head = head
         self.check = check_response(
             head, self.wire.parse_response_metadata(head.headers), self.request_id
@@ -102,7 +102,7 @@
             self._finish(AttemptOutcome.BROKEN)
             self.connection.abandon()
 
-    def answer_body(self, data):
+    def response_data_received(self, data):
         if self.done.called or self.check is not ResponseCheck.VALID:
             return
         if self.streaming:
@@ -126,17 +126,17 @@
     def resume(self) -> None:
         self.connection.transport.resumeProducing()
 
-    def answer_ended(self):
+    def response_completed(self):
         if self.streaming:
             self.caller.end()
             self._finish(AttemptOutcome.STREAMED)
             return
         self._finish(OUTCOMES_BY_CHECK.get(self.check, AttemptOutcome.ANSWERED))
 
-    def answer_broken(self, reason: BreakReason):
-        self.disconnected = reason.by_endpoint
+    def response_failed(self, reason: ResponseFailure):
+        self.disconnected = reason.closed_by_endpoint
         if self.streaming:
-            self.caller.cut()
+            self.caller.abort()
         if self.check in (ResponseCheck.NOT_RUN, ResponseCheck.WRONG_INCARNATION):
             self._finish(OUTCOMES_BY_CHECK[self.check])
             return
--- a/src/guavacleat/forwarding/session.py
+++ b/src/guavacleat/forwarding/session.py
@@ -68,7 +68,7 @@
 
     async def _run_until_deadline(self) -> None:
         exchange = self.request.exchange
-        exchange.on_gone = self.cancel
+        exchange.on_disconnect = self.cancel
         exchange.source = self
         timer = self.context.clock.callLater(self.time_left(), self._deadline_expired)
         self.sessions.add(self)
@@ -79,7 +79,7 @@
                 self.handover.abandon()
             self._free_copy()
             self.sessions.discard(self)
-            exchange.on_gone = None
+            exchange.on_disconnect = None
             exchange.source = None
             if timer.active():
                 timer.cancel()
@@ -200,7 +200,7 @@
 
     def attempt_started(self, attempt: StreamAttempt) -> None:
         """Called when an endpoint has started a valid stream."""
-        if not self.request.exchange.began:
+        if not self.request.exchange.head_sent:
             begin_response(self.request.exchange, attempt.head)
 
     def attempt_event(self, attempt: StreamAttempt, event) -> None:
@@ -266,23 +266,23 @@
         self._log("stream:broken", endpoint=self.attempt.entry.id, end=outcome.value)
         if self.finished:
             return
-        if not self.request.exchange.began:
+        if not self.request.exchange.head_sent:
             raise RefusalError(RefusalReason.BROKEN)
         self._cut()
 
     def _cut(self) -> None:
         self.cut = True
-        self.request.exchange.cut()
+        self.request.exchange.abort()
 
     def _deadline_expired(self) -> None:
         if self.finished:
             return
         self._log("stream:expired")
-        if self.request.exchange.began:
+        if self.request.exchange.head_sent:
             self._cut()
         else:
             headers = self.context.wire.refusal_headers(self.request.metadata.id, None)
-            self.request.exchange.answer(RefusalReason.EXPIRED.status, headers, b"")
+            self.request.exchange.respond(RefusalReason.EXPIRED.status, headers, b"")
         self.cancel()
 
     def cancel(self) -> None:
--- a/src/guavacleat/forwarding/stream_attempt.py
+++ b/src/guavacleat/forwarding/stream_attempt.py
@@ -7,7 +7,7 @@
 from guavacleat.forwarding.events import EventSplitter
 from guavacleat.forwarding.memory import RunCopy
 from guavacleat.forwarding.response import ResponseCheck, check_response
-from guavacleat.http1.client import AnswerListener, BreakReason
+from guavacleat.http1.client import ResponseFailure, ResponseListener
 from guavacleat.http1.messages import ResponseHead
 from guavacleat.membership.registry import EndpointEntry
 from guavacleat.placement import Run
@@ -34,7 +34,7 @@
 }
 
 
-class StreamAttempt(AnswerListener):
+class StreamAttempt(ResponseListener):
     """Receives the response on ``connection``; ``done`` fires with a :class:`StreamOutcome`.
 
     :param observer: ``attempt_started(attempt)`` is called when a valid stream starts, and
@@ -76,7 +76,7 @@
         self._end(StreamOutcome.BROKEN)
         self.connection.abandon()
 
-    def answer_began(self, head):
+    def response_started(self, head):
         self.head = head
         self.check = check_response(
             head, self.wire.parse_response_metadata(head.headers), self.request_id
@@ -86,7 +86,7 @@
         elif self.streaming and not self.ended:
             self.observer.attempt_started(self)
 
-    def answer_body(self, data):
+    def response_data_received(self, data):
         if self.ended:
             return
         if not self.streaming:
@@ -101,7 +101,7 @@
             if not self.ended:
                 self.observer.attempt_event(self, event)
 
-    def answer_ended(self):
+    def response_completed(self):
         if self.check in REFUSAL_OUTCOMES:
             self._end(REFUSAL_OUTCOMES[self.check])
         elif not self.streaming:
@@ -112,8 +112,8 @@
                 StreamOutcome.BROKEN if self.splitter.remainder.strip() else StreamOutcome.COMPLETE
             )
 
-    def answer_broken(self, reason: BreakReason):
-        self.disconnected = reason.by_endpoint and not self.ended
+    def response_failed(self, reason: ResponseFailure):
+        self.disconnected = reason.closed_by_endpoint and not self.ended
         self._end(REFUSAL_OUTCOMES.get(self.check, StreamOutcome.BROKEN))
 
     def _end(self, outcome: StreamOutcome) -> None:
--- a/src/guavacleat/gateway/service.py
+++ b/src/guavacleat/gateway/service.py
@@ -140,5 +140,5 @@
             "resumes": self.relay.resumes,
             "store_calls": dict(self.store.calls_by_type),
             "store_bytes": self.store.bytes,
-            "latency": self.metrics.book.summary(),
+            "latency": self.metrics.latencies.summary(),
         }
--- a/src/guavacleat/http1/calls.py
+++ b/src/guavacleat/http1/calls.py
@@ -5,7 +5,7 @@
 from twisted.internet import defer
 
 from guavacleat.addresses import format_address
-from guavacleat.http1.client import AnswerListener, BreakReason
+from guavacleat.http1.client import ResponseFailure, ResponseListener
 from guavacleat.http1.messages import ResponseHead
 from guavacleat.http1.pool import ConnectionPool
 
@@ -51,15 +51,15 @@
         return None if found is None else found.decode("latin-1")
 
 
-class _Collector(AnswerListener):
+class _Collector(ResponseListener):
     """Gathers an answer; ``on_progress()`` is called as each part of it arrives.
 
-    :param most_bytes: a larger body is not read on: ``give_up()`` is called. None is no bound.
+    :param max_body_bytes: a larger body is not read on: ``give_up()`` is called. None is no bound.
     """
 
-    def __init__(self, most_bytes: int | None, give_up):
+    def __init__(self, max_body_bytes: int | None, give_up):
         self.on_progress = lambda: None
-        self.most_bytes = most_bytes
+        self.max_body_bytes = max_body_bytes
         self.give_up = give_up
         self.done = defer.Deferred()
         self.head = None
@@ -67,26 +67,26 @@
         self.received = 0
         self.too_large = False
 
-    def answer_began(self, head):
+    def response_started(self, head):
         self.head = head
         self.on_progress()
         self._check_size(head.content_length or 0)
 
-    def answer_body(self, data):
+    def response_data_received(self, data):
         self.pieces.append(data)
         self.received += len(data)
         self.on_progress()
         self._check_size(self.received)
 
     def _check_size(self, size: int) -> None:
-        if self.most_bytes is not None and size > self.most_bytes:
+        if self.max_body_bytes is not None and size > self.max_body_bytes:
             self.too_large = True
             self.give_up()
 
-    def answer_ended(self):
+    def response_completed(self):
         self.done.callback(WholeAnswer(self.head, b"".join(self.pieces)))
 
-    def answer_broken(self, reason: BreakReason):
+    def response_failed(self, reason: ResponseFailure):
         kind = AnswerTooLargeError if self.too_large else CallBrokenError
         self.done.errback(kind(reason.value, self.received))
 
@@ -101,19 +101,19 @@
     body,
     timeout,
     read_timeout: float | None = None,
-    most_bytes: int | None = None,
+    max_body_bytes: int | None = None,
 ):
     """Return the :class:`WholeAnswer`, or raise CallBrokenError.
 
     :param timeout: seconds that the answer may take; with ``read_timeout``, to its beginning.
     :param read_timeout: longest pause in seconds within the answer, which then takes what it takes.
-    :param most_bytes: a larger body is not read on, and raises AnswerTooLargeError.
+    :param max_body_bytes: a larger body is not read on, and raises AnswerTooLargeError.
     """
     try:
         connection = await pool.connect(address)
     except Exception as exc:  # noqa: BLE001 - refused, timed out, unreachable: no connection
         raise CallBrokenError(repr(exc)) from exc
-    collector = _Collector(most_bytes, connection.abandon)
+    collector = _Collector(max_body_bytes, connection.abandon)
     all_headers = [(b"host", format_address(address).encode()), *headers]
     connection.send(method, target, all_headers, body, collector)
     timer = reactor.callLater(timeout, connection.abandon)
@@ -145,7 +145,7 @@
         url: str,
         data: bytes | None,
         timeout: float,
-        most_bytes: int | None = None,
+        max_body_bytes: int | None = None,
     ):
         parts = urlsplit(url)
         target = parts.path + (f"?{parts.query}" if parts.query else "")
@@ -160,6 +160,6 @@
             data or b"",
             timeout,
             read_timeout=self.read_timeout,
-            most_bytes=most_bytes,
+            max_body_bytes=max_body_bytes,
         )
         return defer.Deferred.fromCoroutine(coroutine)
--- a/src/guavacleat/http1/client.py
+++ b/src/guavacleat/http1/client.py
@@ -1,6 +1,6 @@
 """One connection to an endpoint: one request at a time, its answer told piece by piece.
 
-The answer goes to a listener with the methods of :class:`AnswerListener`. What cannot belong to
+The answer goes to a listener with the methods of :class:`ResponseListener`. What cannot belong to
 the request under way (bytes while none waits, a second answer, an answer with another request's
 id) ends the connection: such bytes belong to no request and must never reach a caller.
 """
@@ -12,37 +12,37 @@
 from twisted.internet.error import ConnectionDone
 
 from guavacleat.http1.messages import ResponseHead
-from guavacleat.http1.sockets import notice_silence
+from guavacleat.http1.sockets import enable_dead_peer_detection
 
-__all__ = ["AnswerListener", "BreakReason", "EndpointConnection"]
+__all__ = ["ResponseListener", "ResponseFailure", "EndpointConnection"]
 
 MAX_ANSWER_HEAD_BYTES = 32768
 
 
-class BreakReason(enum.Enum):
+class ResponseFailure(enum.Enum):
     """Why an exchange ended without a whole answer."""
 
     CLOSED = "connection closed"
     RESET = "connection reset"
-    GARBLED = "not HTTP"
+    MALFORMED = "not HTTP"
     ABANDONED = "abandoned by this gateway"
 
     @property
-    def by_endpoint(self) -> bool:
+    def closed_by_endpoint(self) -> bool:
         """Whether the endpoint ended the connection, as one that crashes does."""
-        return self in (BreakReason.CLOSED, BreakReason.RESET)
+        return self in (ResponseFailure.CLOSED, ResponseFailure.RESET)
 
 
-class AnswerListener:
-    """Hears one answer. Exactly one of ``answer_ended`` and ``answer_broken`` comes last."""
+class ResponseListener:
+    """Receives one response; ``response_completed`` or ``response_failed`` is called last."""
 
-    def answer_began(self, head: ResponseHead) -> None: ...
+    def response_started(self, head: ResponseHead) -> None: ...
 
-    def answer_body(self, data: bytes) -> None: ...
+    def response_data_received(self, data: bytes) -> None: ...
 
-    def answer_ended(self) -> None: ...
+    def response_completed(self) -> None: ...
 
-    def answer_broken(self, reason: BreakReason) -> None: ...
+    def response_failed(self, reason: ResponseFailure) -> None: ...
 
 
 class EndpointConnection(protocol.Protocol):
@@ -55,16 +55,16 @@
         self.on_idle = on_idle
         self.on_closed = on_closed
         self.parser = None
-        self.listener: AnswerListener | None = None
+        self.listener: ResponseListener | None = None
         self.requests = 0
         self.open = False
         self.keep_alive_seconds: float | None = None
 
     def connectionMade(self):  # noqa: N802 - Twisted's name
         self.open = True
-        notice_silence(self.transport)
+        enable_dead_peer_detection(self.transport)
 
-    def send(self, method, target, headers, body: bytes, listener: AnswerListener) -> None:
+    def send(self, method, target, headers, body: bytes, listener: ResponseListener) -> None:
         """Send one request; ``headers`` hold neither framing nor hop-by-hop headers."""
         self.listener = listener
         self.requests += 1
@@ -83,7 +83,7 @@
         if self.open:
             self.open = False
             self.transport.abortConnection()
-        self._broken(BreakReason.ABANDONED)
+        self._broken(ResponseFailure.ABANDONED)
 
     def dataReceived(self, data):  # noqa: N802 - Twisted's name
         if self.listener is None:
@@ -95,7 +95,7 @@
         self.open = False
         if self.listener is not None and reason.check(ConnectionDone):
             self._closed()
-        self._broken(BreakReason.RESET)
+        self._broken(ResponseFailure.RESET)
         self.on_closed(self)
 
     def _closed(self) -> None:
@@ -105,7 +105,7 @@
             self._handle(self.parser.next_event())
         except h11.RemoteProtocolError:
             pass  # Not enough bytes for a whole answer, as is told next.
-        self._broken(BreakReason.CLOSED)
+        self._broken(ResponseFailure.CLOSED)
 
     def _feed(self, data: bytes) -> None:
         try:
@@ -122,9 +122,9 @@
         if isinstance(event, h11.Response):
             self._note_keep_alive(event)
             head = ResponseHead(event.status_code, event.reason, list(event.headers))
-            self.listener.answer_began(head)
+            self.listener.response_started(head)
         elif isinstance(event, h11.Data):
-            self.listener.answer_body(bytes(event.data))
+            self.listener.response_data_received(bytes(event.data))
         elif isinstance(event, h11.EndOfMessage):
             self._ended()
             return False
@@ -145,7 +145,7 @@
         elif self.open:
             self.open = False
             self.transport.abortConnection()
-        listener.answer_ended()
+        listener.response_completed()
 
     def _note_keep_alive(self, response: h11.Response) -> None:
         values = [value for name, value in response.headers if name == b"keep-alive"]
@@ -158,9 +158,9 @@
         if self.open:
             self.open = False
             self.transport.abortConnection()
-        self._broken(BreakReason.GARBLED)
+        self._broken(ResponseFailure.MALFORMED)
 
-    def _broken(self, reason: BreakReason) -> None:
+    def _broken(self, reason: ResponseFailure) -> None:
         listener, self.listener = self.listener, None
         if listener is not None:
-            listener.answer_broken(reason)
+            listener.response_failed(reason)
--- a/src/guavacleat/http1/pool.py
+++ b/src/guavacleat/http1/pool.py
@@ -35,9 +35,9 @@
             self._cancel_timer(connection)
             if connection.open:
                 return defer.succeed(connection)
-        return self.connect_anew(address)
+        return self.connect_new(address)
 
-    def connect_anew(self, address: tuple[str, int]) -> defer.Deferred:
+    def connect_new(self, address: tuple[str, int]) -> defer.Deferred:
         """Fire with a new connection to ``address``."""
         self.opened += 1
         connector = protocol.ClientCreator(
--- a/src/guavacleat/http1/server.py
+++ b/src/guavacleat/http1/server.py
@@ -9,7 +9,7 @@
 from twisted.internet import protocol
 
 from guavacleat.http1.messages import RequestHead
-from guavacleat.http1.sockets import notice_silence
+from guavacleat.http1.sockets import enable_dead_peer_detection
 
 __all__ = ["CallerConnection", "CallerExchange", "CallerListener"]
 
@@ -27,30 +27,32 @@
 class CallerExchange:
     """One request and the way to answer it.
 
-    ``on_gone()``, if set, is called when the caller leaves before its answer is complete.
+    ``on_disconnect()``, if set, is called when the caller leaves before its answer is complete.
     """
 
     def __init__(self, connection: "CallerConnection", head: RequestHead, body: bytes):
         self.connection = connection
         self.head = head
         self.body = body
-        self.on_gone = None
+        self.on_disconnect = None
         # Who to tell when the caller reads too slowly: anything with pause() and resume().
         self.source = None
         self.status: int | None = None
         self.ended = False
-        self.was_cut = False
+        self.aborted = False
 
     @property
-    def began(self) -> bool:
+    def head_sent(self) -> bool:
         """Whether the head of an answer was sent."""
         return self.status is not None
 
     @property
-    def gone(self) -> bool:
+    def disconnected(self) -> bool:
         return not self.connection.open
 
-    def begin(self, status: int, reason: bytes, headers: list[tuple[bytes, bytes]]) -> None:
+    def start_response(
+        self, status: int, reason: bytes, headers: list[tuple[bytes, bytes]]
+    ) -> None:
         """Send the head; without a content-length header the body goes in chunks."""
         self.status = status
         self.connection.send_head(status, reason, headers)
@@ -63,18 +65,18 @@
         self.ended = True
         self.connection.send_end()
 
-    def answer(self, status: int, headers, body: bytes, reason: bytes = b"") -> None:
+    def respond(self, status: int, headers, body: bytes, reason: bytes = b"") -> None:
         """Send a whole answer."""
-        self.begin(status, reason, [*headers, (b"content-length", b"%d" % len(body))])
+        self.start_response(status, reason, [*headers, (b"content-length", b"%d" % len(body))])
         if body and self.head.method != b"HEAD":
             self.write(body)
         self.end()
 
-    def cut(self) -> None:
+    def abort(self) -> None:
         """End the connection without completing the answer, so that it cannot look whole."""
         self.ended = True
-        self.was_cut = True
-        self.connection.cut()
+        self.aborted = True
+        self.connection.abort()
 
 
 class CallerConnection(protocol.Protocol):
@@ -94,7 +96,7 @@
         self.open = True
         limits = self.listener.limits()
         self.parser = h11.Connection(h11.SERVER, max_incomplete_event_size=limits.max_header_bytes)
-        notice_silence(self.transport)
+        enable_dead_peer_detection(self.transport)
         self.transport.registerProducer(self, True)
         self.listener.connections.add(self)
         self._set_timer(limits.idle_timeout, self._idle_too_long)
@@ -113,8 +115,8 @@
         self._set_timer(None, None)
         self.listener.connections.discard(self)
         exchange, self.exchange = self.exchange, None
-        if exchange is not None and not exchange.ended and exchange.on_gone is not None:
-            exchange.on_gone()
+        if exchange is not None and not exchange.ended and exchange.on_disconnect is not None:
+            exchange.on_disconnect()
 
     def _read(self) -> None:
         try:
@@ -238,7 +240,7 @@
             self.transport.unregisterProducer()
             self.transport.loseConnection()
 
-    def cut(self) -> None:
+    def abort(self) -> None:
         if self.open:
             self.open = False
             self.transport.abortConnection()
--- a/src/guavacleat/http1/sockets.py
+++ b/src/guavacleat/http1/sockets.py
@@ -2,7 +2,7 @@
 
 import socket
 
-__all__ = ["notice_silence"]
+__all__ = ["enable_dead_peer_detection"]
 
 # A peer that lost power or sits behind a partition answers nothing: without these a connection to
 # it would hang for minutes. Together they end it within some 3 s, inside the 3 s after which a
@@ -13,7 +13,7 @@
 UNACKNOWLEDGED_MS = 3000
 
 
-def notice_silence(transport) -> None:
+def enable_dead_peer_detection(transport) -> None:
     """Let the kernel probe an idle connection and give up bytes that nobody acknowledges."""
     handle = getattr(transport, "getHandle", None)
     if handle is None:
--- a/src/guavacleat/ingress/dispatch.py
+++ b/src/guavacleat/ingress/dispatch.py
@@ -199,10 +199,10 @@
         return RefusalError(reason)
 
     def _refuse(self, exchange: CallerExchange, refusal: RefusalError) -> None:
-        if exchange.gone or exchange.began:
+        if exchange.disconnected or exchange.head_sent:
             return
         headers = self.context.wire.refusal_headers(self._request_id(exchange), refusal.retry_after)
-        exchange.answer(refusal.reason.status, headers, b"")
+        exchange.respond(refusal.reason.status, headers, b"")
 
     def _request_id(self, exchange: CallerExchange) -> str:
         """The caller's request id, also of a request without a matching route or account."""
@@ -211,12 +211,12 @@
     def _internal_error(self, failure, exchange: CallerExchange) -> None:
         """Handle an internal error with 502, as the request may have run."""
         log_message(message_type="request:error", error=failure.getTraceback())
-        if exchange.ended or exchange.gone:
+        if exchange.ended or exchange.disconnected:
             return
-        if exchange.began:
-            exchange.cut()
+        if exchange.head_sent:
+            exchange.abort()
         else:
-            exchange.answer(RefusalReason.BROKEN.status, [], b"")
+            exchange.respond(RefusalReason.BROKEN.status, [], b"")
 
     def _log_end(self, request, exchange, arrived: float, refusal: RefusalError | None) -> None:
         seconds = self.context.clock.seconds() - arrived
@@ -254,7 +254,7 @@
 
 def _outcome(exchange: CallerExchange) -> str:
     """The outcome of an exchange that was not refused."""
-    if exchange.was_cut:
+    if exchange.aborted:
         return "CUT"
     return "ANSWERED" if exchange.ended else "GONE"
 
--- a/src/guavacleat/ingress/service.py
+++ b/src/guavacleat/ingress/service.py
@@ -162,11 +162,11 @@
     def _answer_status_request(self, exchange: CallerExchange) -> None:
         path = exchange.head.path
         if path == self.readiness_path:
-            exchange.answer(OK if self.ready else NOT_READY, [], b"")
+            exchange.respond(OK if self.ready else NOT_READY, [], b"")
         elif path == METRICS_PATH:
-            exchange.answer(OK, [(b"content-type", b"text/plain")], self._exposition())
+            exchange.respond(OK, [(b"content-type", b"text/plain")], self._exposition())
         else:
-            exchange.answer(NOT_FOUND, [], b"")
+            exchange.respond(NOT_FOUND, [], b"")
 
     def _exposition(self) -> bytes:
         self.metrics.update_configuration(self.holder, self.source.failures_by_kind())
--- a/src/guavacleat/load/report.py
+++ b/src/guavacleat/load/report.py
@@ -6,7 +6,7 @@
 from guavacleat.admission.queues import PROMPT_TOKEN_COST
 from guavacleat.checks.runs import check_run
 from guavacleat.load.experiment import Run
-from guavacleat.metrics import LatencyBook
+from guavacleat.metrics import LatencyHistograms
 
 __all__ = ["Report", "Row", "STALL_GAP_SECONDS", "fair_shares", "make_report", "table"]
 
@@ -91,7 +91,7 @@
 def make_report(run: Run) -> Report:
     """Add up what the callers of ``run`` saw."""
     rows_by_key: dict[tuple[str, str], Row] = {}
-    book = LatencyBook()
+    book = LatencyHistograms()
     for log in run.logs:
         for key in _keys(log.arrival.account, log.arrival.kind.priority_class):
             row = rows_by_key.setdefault(key, Row(*key))
@@ -136,14 +136,14 @@
     return (after - before for before, after in itertools.pairwise(log.token_times))
 
 
-def _record(book: LatencyBook, key: tuple[str, str], log) -> None:
+def _record(book: LatencyHistograms, key: tuple[str, str], log) -> None:
     if log.token_times:
         book.record("ttft", *key, log.token_times[0] - log.arrival.at)
     for gap in _gaps(log):
         book.record("gap", *key, gap)
 
 
-def _fill_percentiles(book: LatencyBook, rows_by_key) -> None:
+def _fill_percentiles(book: LatencyHistograms, rows_by_key) -> None:
     for summary in book.summary():
         row = rows_by_key[summary["account"], summary["class"]]
         figures = {name: summary[name] for name in ("p50", "p95", "p99")}
--- a/src/guavacleat/membership/liveness.py
+++ b/src/guavacleat/membership/liveness.py
@@ -22,7 +22,7 @@
             # An announced departure is not a crash.
             return Liveness.ALIVE
         try:
-            connection = await self.pool.connect_anew(entry.address)
+            connection = await self.pool.connect_new(entry.address)
         except ConnectionRefusedError:
             return Liveness.ENDED
         except Exception as exc:  # noqa: BLE001 - unreachable: neither refused nor alive
--- a/src/guavacleat/metrics/__init__.py
+++ b/src/guavacleat/metrics/__init__.py
@@ -1,5 +1,5 @@
 """Counters and per-account, per-class latency histograms (aioprometheus and hdrhistogram)."""
 
-from guavacleat.metrics.book import LatencyBook, StreamMetrics
+from guavacleat.metrics.streams import LatencyHistograms, StreamMetrics
 
-__all__ = ["LatencyBook", "StreamMetrics"]
+__all__ = ["LatencyHistograms", "StreamMetrics"]
--- a/src/guavacleat/metrics/book.py
+++ b/src/guavacleat/metrics/streams.py
@@ -9,7 +9,7 @@
 from aioprometheus.renderer import render
 from hdrh.histogram import HdrHistogram
 
-__all__ = ["LatencyBook", "StreamMetrics"]
+__all__ = ["LatencyHistograms", "StreamMetrics"]
 
 LOWEST_US = 1
 HIGHEST_US = 600_000_000
@@ -23,7 +23,7 @@
 GAP_BUCKETS = (0.005, 0.01, 0.02, 0.033, 0.05, 0.1, 0.2, 0.5, 1.0)
 
 
-class LatencyBook:
+class LatencyHistograms:
     """hdrhistogram recorders keyed by ``(measure, account, priority_class)``."""
 
     def __init__(self):
@@ -58,7 +58,7 @@
 
     def __init__(self):
         self.registry = Registry()
-        self.book = LatencyBook()
+        self.latencies = LatencyHistograms()
         self.accounts: set[str] = set()
         self.ttft = Histogram(
             "guavacleat_time_to_first_token_seconds",
@@ -86,12 +86,12 @@
     def first_token(self, account: str, priority_class: str, seconds: float) -> None:
         labels = self._labels(account, priority_class)
         self.ttft.observe(labels, seconds)
-        self.book.record("ttft", labels["account"], priority_class, seconds)
+        self.latencies.record("ttft", labels["account"], priority_class, seconds)
 
     def token_gap(self, account: str, priority_class: str, seconds: float) -> None:
         labels = self._labels(account, priority_class)
         self.gap.observe(labels, seconds)
-        self.book.record("gap", labels["account"], priority_class, seconds)
+        self.latencies.record("gap", labels["account"], priority_class, seconds)
 
     def outcome(self, account: str, priority_class: str, outcome: str) -> None:
         self.outcomes.inc({**self._labels(account, priority_class), "outcome": outcome})
--- a/src/guavacleat/standin/routed.py
+++ b/src/guavacleat/standin/routed.py
@@ -62,10 +62,10 @@
 
     def _handle(self, exchange: CallerExchange) -> None:
         if self.fault is EndpointFault.REFUSE:
-            exchange.answer(UNAVAILABLE, [(NOT_RUN, b"1")], b"")
+            exchange.respond(UNAVAILABLE, [(NOT_RUN, b"1")], b"")
             return
         if self.fault is EndpointFault.OTHER_INCARNATION:
-            exchange.answer(MISDIRECTED, [], b"")
+            exchange.respond(MISDIRECTED, [], b"")
             return
         request_id = dict(exchange.head.headers).get(REQUEST_ID, b"")
         self.runs_by_request[request_id.decode("latin-1")] += 1
@@ -75,7 +75,7 @@
         if self.fault is EndpointFault.HANG:
             return
         if self.fault is EndpointFault.RESET:
-            exchange.cut()
+            exchange.abort()
             return
         headers = self._headers(request_id)
         if exchange.head.path.startswith("/listing/"):
@@ -91,34 +91,34 @@
         return [(REQUEST_ID, id), *signature]
 
     def _answer(self, exchange: CallerExchange, headers) -> None:
-        if exchange.gone:
+        if exchange.disconnected:
             return
         body = b"done by %s" % self.id.encode()
         if self.fault is EndpointFault.TRUNCATE:
-            exchange.begin(OK, b"OK", [*headers, (b"content-length", b"%d" % len(body))])
+            exchange.start_response(OK, b"OK", [*headers, (b"content-length", b"%d" % len(body))])
             exchange.write(body[:4])
             self.clock.callLater(EVENT_SECONDS, exchange.connection.close)
             return
-        exchange.answer(OK, headers, body)
+        exchange.respond(OK, headers, body)
         if self.fault is EndpointFault.EXTRA:
             exchange.connection.transport.write(
                 b"HTTP/1.1 200 OK\r\nx-endpoint: e\r\ncontent-length: 5\r\n\r\nextra"
             )
 
     def _stream(self, exchange: CallerExchange, headers) -> None:
-        exchange.begin(OK, b"OK", [*headers, (b"content-type", b"text/event-stream")])
+        exchange.start_response(OK, b"OK", [*headers, (b"content-type", b"text/event-stream")])
         sent = iter(range(1, EVENTS + 1))
 
         def next_event():
             number = next(sent, None)
-            if exchange.gone or number is None:
+            if exchange.disconnected or number is None:
                 events.stop()
-                if not exchange.gone:
+                if not exchange.disconnected:
                     exchange.end()
                 return
             if self.fault is EndpointFault.TRUNCATE and number == EVENTS:
                 events.stop()
-                exchange.cut()
+                exchange.abort()
                 return
             exchange.write(b"id: %d\ndata: token\n\n" % number)
 
--- a/src/guavacleat/store/client.py
+++ b/src/guavacleat/store/client.py
@@ -114,12 +114,14 @@
         return body["instances"]
 
     @defer.inlineCallbacks
-    def watch(self, kind: str, since: int, wait: float = WATCH_WAIT, most_bytes: int | None = None):
+    def watch(
+        self, kind: str, since: int, wait: float = WATCH_WAIT, max_body_bytes: int | None = None
+    ):
         """Fire with a :class:`WatchBatch` of writes to ``kind`` after revision ``since``.
 
         Raises :class:`HistoryLostError` if the store no longer holds the writes after ``since`` or
         was restored from a copy meanwhile; :class:`ChangesTooLargeError` if they are larger than
-        ``most_bytes``.
+        ``max_body_bytes``.
         """
         since = Revision(since)
         if since.era < (self.era or 0):
@@ -129,7 +131,7 @@
         timeout = wait + self.call_timeout
         try:
             status, body, era = yield self._call(
-                "GET", path, timeout=timeout, most_bytes=most_bytes
+                "GET", path, timeout=timeout, max_body_bytes=max_body_bytes
             )
         except AnswerTooLargeError as exc:
             raise ChangesTooLargeError(kind, since) from exc
@@ -167,11 +169,11 @@
         path: str,
         body=None,
         timeout: float | None = None,
-        most_bytes: int | None = None,
+        max_body_bytes: int | None = None,
     ):
         data = None if body is None else json.dumps(body).encode()
         # Passed only if set: the treq client does not support it.
-        limit = {} if most_bytes is None else {"most_bytes": most_bytes}
+        limit = {} if max_body_bytes is None else {"max_body_bytes": max_body_bytes}
         try:
             response = yield self.http.request(
                 method,
--- a/src/guavacleat/store/watch.py
+++ b/src/guavacleat/store/watch.py
@@ -75,7 +75,7 @@
         self.on_listed = on_listed or (lambda names: None)
         self.backoff_max = backoff_max
         self.newest_only = newest_only
-        self.most_bytes = MAX_CHANGES_BYTES if newest_only else None
+        self.max_body_bytes = MAX_CHANGES_BYTES if newest_only else None
         self.on_revision = on_revision or (lambda revision: None)
         self.is_suspended = is_suspended
         self.suspended = False
@@ -170,7 +170,7 @@
                 wait = self.wait * self.random.uniform(MIN_WAIT_FRACTION, 1.0)
                 if self.failures:
                     wait = min(self.wait, RECOVERY_WAIT)
-                batch = yield self.store.watch(self.kind, self.revision, wait, self.most_bytes)
+                batch = yield self.store.watch(self.kind, self.revision, wait, self.max_body_bytes)
         except HistoryLostError:
             self._relist("watch:history-lost")
             return
--- a/tests/forwarding/harness.py
+++ b/tests/forwarding/harness.py
@@ -8,7 +8,7 @@
 from guavacleat.forwarding.messages import MoveResponse, RequestMetadata, ResponseMetadata
 from guavacleat.forwarding.request import ForwardedRequest
 from guavacleat.forwarding.wire import Wire
-from guavacleat.http1.client import BreakReason
+from guavacleat.http1.client import ResponseFailure
 from guavacleat.http1.messages import RequestHead, ResponseHead
 from guavacleat.http1.server import CallerExchange
 from guavacleat.membership.liveness import EndpointProbe
@@ -83,27 +83,27 @@
 
     def abandon(self):
         self.open, self.abandoned = False, True
-        self.break_off(BreakReason.ABANDONED)
+        self.break_off(ResponseFailure.ABANDONED)
 
     def begin(self, status=200, id=b"r1", signed=True, not_run=False):
         headers = [(b"id", id)] if id is not None else []
         headers += [(b"sealed", b"1")] if signed else []
         headers += [(b"not-run", b"1")] if not_run else []
-        self.listener.answer_began(ResponseHead(status, b"", headers))
+        self.listener.response_started(ResponseHead(status, b"", headers))
 
     def body_bytes(self, data):
         if self.listener is not None:
-            self.listener.answer_body(data)
+            self.listener.response_data_received(data)
 
     def end(self):
         listener, self.listener = self.listener, None
         if listener is not None:
-            listener.answer_ended()
+            listener.response_completed()
 
-    def break_off(self, reason=BreakReason.RESET):
+    def break_off(self, reason=ResponseFailure.RESET):
         listener, self.listener = self.listener, None
         if listener is not None:
-            listener.answer_broken(reason)
+            listener.response_failed(reason)
 
     def answer(self, status=200, body=b"", **changes):
         self.begin(status, **changes)
@@ -127,7 +127,7 @@
         self.connections.append(FakeEndpointConnection(address))
         return defer.succeed(self.connections[-1])
 
-    def connect_anew(self, address):
+    def connect_new(self, address):
         """Open a probe connection, which is not recorded in ``connections``."""
         if address in self.refused:
             return defer.fail(ConnectionRefusedError(str(address)))
@@ -146,7 +146,7 @@
         self.head = None
         self.data = b""
         self.complete = False
-        self.was_cut = False
+        self.aborted = False
 
     def send_head(self, status, reason, headers):
         self.head = (status, dict(headers))
@@ -157,8 +157,8 @@
     def send_end(self):
         self.complete = True
 
-    def cut(self):
-        self.open, self.was_cut = False, True
+    def abort(self):
+        self.open, self.aborted = False, True
 
 
 class ForwardingHarness:
--- a/tests/forwarding/test_plain.py
+++ b/tests/forwarding/test_plain.py
@@ -131,14 +131,14 @@
     connection.body_bytes(b"x" * (MAX_BUFFERED_BYTES + 1))
     assert len(caller.data) == MAX_BUFFERED_BYTES + 1
     connection.break_off()
-    assert caller.was_cut and not caller.complete
+    assert caller.aborted and not caller.complete
     assert len(harness.pool.connections) == 1
 
 
 def test_attempt_is_abandoned_when_the_caller_disconnects(harness):
     request, caller, _ = start_request(harness)
     caller.open = False
-    request.exchange.on_gone()
+    request.exchange.on_disconnect()
     assert harness.pool.connections[0].abandoned
     assert len(harness.pool.connections) == 1
 
--- a/tests/forwarding/test_plain_machine.py
+++ b/tests/forwarding/test_plain_machine.py
@@ -63,7 +63,7 @@
             runs.append(action)
         if action == "leave":
             caller.open = False
-            request.exchange.on_gone()
+            request.exchange.on_disconnect()
         else:
             perform(connection)
         if action == "hang":
--- a/tests/forwarding/test_quarantine.py
+++ b/tests/forwarding/test_quarantine.py
@@ -7,7 +7,7 @@
 from guavacleat.forwarding.plain import PlainForwarder
 from guavacleat.forwarding.refusals import RefusalReason
 from guavacleat.forwarding.session import StreamSession
-from guavacleat.http1.client import BreakReason
+from guavacleat.http1.client import ResponseFailure
 from guavacleat.placement import Run
 from guavacleat.quarantine import QuarantineState
 from guavacleat.routes import EngineTraits, RequestKind
@@ -47,7 +47,7 @@
 
 def crash_endpoint(harness, connection):
     harness.pool.refused.add(connection.address)
-    connection.break_off(BreakReason.RESET)
+    connection.break_off(ResponseFailure.RESET)
 
 
 def add_runs(harness, name, runs):
@@ -139,7 +139,7 @@
     _, caller, connection, copy_holder = start_resumable_stream(harness, 0)
     crash_endpoint(harness, connection)
     assert harness.pool.connections[1].address[0] == copy_holder
-    assert not caller.was_cut
+    assert not caller.aborted
 
 
 def test_suspect_does_not_resume_on_a_loaded_endpoint(clock):
@@ -149,7 +149,7 @@
     add_runs(harness, copy_holder, 6)
     crash_endpoint(harness, connection)
     assert len(harness.pool.connections) == 1
-    assert caller.was_cut
+    assert caller.aborted
 
 
 def test_quarantined_stream_does_not_resume(clock):
@@ -157,7 +157,7 @@
     _, caller, connection, _ = start_resumable_stream(harness, 2)
     crash_endpoint(harness, connection)
     assert len(harness.pool.connections) == 1
-    assert caller.was_cut
+    assert caller.aborted
 
 
 def test_suspect_has_no_backup_and_no_handover(clock):
@@ -183,7 +183,7 @@
     assert refusals[0].reason is RefusalReason.QUARANTINED
 
 
-@pytest.mark.parametrize("reason", [BreakReason.GARBLED, BreakReason.ABANDONED])
+@pytest.mark.parametrize("reason", [ResponseFailure.MALFORMED, ResponseFailure.ABANDONED])
 def test_invalid_response_is_not_counted_as_a_crash(clock, reason):
     harness = ForwardingHarness(clock, engine=None)
     request, _, _ = start_plain(harness, attempts=1)
--- a/tests/forwarding/test_session.py
+++ b/tests/forwarding/test_session.py
@@ -68,14 +68,14 @@
     """Guards against completing a stream in which an event id was skipped."""
     _, caller, connection = start_running_stream(harness)
     connection.body_bytes(encode_event(5))
-    assert caller.was_cut and not caller.complete
+    assert caller.aborted and not caller.complete
     assert encode_event(5) not in caller.data
 
 
 def test_stream_without_copy_is_cut_when_its_engine_fails(harness):
     _, caller, connection = start_running_stream(harness)
     connection.break_off()
-    assert caller.was_cut and not caller.complete
+    assert caller.aborted and not caller.complete
     assert len(harness.pool.connections) == 1
 
 
@@ -83,7 +83,7 @@
     _, caller, connection = start_running_stream(harness)
     connection.body_bytes(b"id: 4\ndata: half")
     connection.end()
-    assert caller.was_cut and not caller.complete
+    assert caller.aborted and not caller.complete
 
 
 def test_refused_stream_is_sent_to_another_engine(harness):
@@ -129,7 +129,7 @@
 def test_stream_is_cut_at_its_deadline(harness):
     _, caller, connection = start_running_stream(harness)
     harness.clock.advance(39.0)
-    assert connection.abandoned and caller.was_cut
+    assert connection.abandoned and caller.aborted
 
 
 def test_stream_without_events_gets_504_at_its_deadline(harness):
@@ -143,7 +143,7 @@
     session.memory.set_copy(RunCopy(make_entry("e2"), make_entry("e2"), "h1"))
     connection.break_off()
     harness.pool.connections[1].answer(503, signed=False, not_run=True, id=None)
-    assert caller.was_cut and not caller.complete
+    assert caller.aborted and not caller.complete
 
 
 def test_stream_is_cut_if_its_backup_refuses_to_resume(clock):
@@ -161,7 +161,7 @@
     assert second_connection.headers[b"copy-to"].decode() not in (backup_engine, first.address[0])
     second_connection.answer(503, signed=False, not_run=True, id=None)
     assert len(harness.pool.connections) == 2
-    assert caller.was_cut and not caller.complete
+    assert caller.aborted and not caller.complete
     assert harness.load.runs_by_endpoint == {}
 
 
--- a/tests/http1/test_client.py
+++ b/tests/http1/test_client.py
@@ -7,25 +7,25 @@
 from twisted.internet.testing import StringTransport
 from twisted.python.failure import Failure
 
-from guavacleat.http1.client import AnswerListener, BreakReason, EndpointConnection
+from guavacleat.http1.client import EndpointConnection, ResponseFailure, ResponseListener
 
 
-class Heard(AnswerListener):
+class Heard(ResponseListener):
     def __init__(self):
         self.head = None
         self.body = b""
         self.ends = []
 
-    def answer_began(self, head):
+    def response_started(self, head):
         self.head = head
 
-    def answer_body(self, data):
+    def response_data_received(self, data):
         self.body += data
 
-    def answer_ended(self):
+    def response_completed(self):
         self.ends.append("whole")
 
-    def answer_broken(self, reason):
+    def response_failed(self, reason):
         self.ends.append(reason)
 
 
@@ -64,14 +64,14 @@
 
 BROKEN = [
     # (bytes, how the connection ends, what the listener hears last)
-    (b"HTTP/1.1 200 OK\r\ncontent-length: 5\r\n\r\nhi", ConnectionDone, BreakReason.CLOSED),
-    (b"HTTP/1.1 200 OK\r\ncontent-length: 5\r\n\r\nhi", ConnectionLost, BreakReason.RESET),
+    (b"HTTP/1.1 200 OK\r\ncontent-length: 5\r\n\r\nhi", ConnectionDone, ResponseFailure.CLOSED),
+    (b"HTTP/1.1 200 OK\r\ncontent-length: 5\r\n\r\nhi", ConnectionLost, ResponseFailure.RESET),
     (b"HTTP/1.1 200 OK\r\n\r\nhi", ConnectionDone, "whole"),
-    (b"HTTP/1.1 200 OK\r\n\r\nhi", ConnectionLost, BreakReason.RESET),
+    (b"HTTP/1.1 200 OK\r\n\r\nhi", ConnectionLost, ResponseFailure.RESET),
     (b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n2\r\nhi\r\n", ConnectionDone,
-     BreakReason.CLOSED),
-    (b"", ConnectionDone, BreakReason.CLOSED),
-    (b"\x00\x01garbage\r\n\r\n", ConnectionDone, BreakReason.GARBLED),
+     ResponseFailure.CLOSED),
+    (b"", ConnectionDone, ResponseFailure.CLOSED),
+    (b"\x00\x01garbage\r\n\r\n", ConnectionDone, ResponseFailure.MALFORMED),
 ]  # fmt: skip
 
 
@@ -121,7 +121,7 @@
     heard = link.ask()
     link.connection.abandon()
     link.lose()
-    assert heard.ends == [BreakReason.ABANDONED]
+    assert heard.ends == [ResponseFailure.ABANDONED]
 
 
 @given(st.binary(max_size=200))
--- a/tests/http1/test_server.py
+++ b/tests/http1/test_server.py
@@ -49,10 +49,10 @@
 def test_requests_on_one_connection_are_answered_in_turn(caller, clock):
     caller.send(b"GET /a HTTP/1.1\r\nhost: h\r\n\r\nGET /b HTTP/1.1\r\nhost: h\r\n\r\n")
     assert [exchange.head.target for exchange in caller.exchanges] == [b"/a"]
-    caller.exchanges[0].answer(200, [], b"first")
+    caller.exchanges[0].respond(200, [], b"first")
     clock.advance(0)
     assert [exchange.head.target for exchange in caller.exchanges] == [b"/a", b"/b"]
-    caller.exchanges[1].answer(200, [], b"second")
+    caller.exchanges[1].respond(200, [], b"second")
     assert caller.received.index(b"first") < caller.received.index(b"second")
 
 
@@ -127,9 +127,9 @@
     """
     caller.send(b"GET /a HTTP/1.1\r\nhost: h\r\n\r\n")
     exchange = caller.exchanges[0]
-    exchange.begin(200, b"OK", [])
+    exchange.start_response(200, b"OK", [])
     exchange.write(b"half")
-    exchange.cut()
+    exchange.abort()
     assert caller.closed
     assert not caller.received.endswith(b"0\r\n\r\n")
 
@@ -137,9 +137,9 @@
 def test_a_caller_that_leaves_is_noticed_while_its_answer_is_awaited(caller):
     caller.send(b"GET /a HTTP/1.1\r\nhost: h\r\n\r\n")
     gone = []
-    caller.exchanges[0].on_gone = lambda: gone.append(True)
+    caller.exchanges[0].on_disconnect = lambda: gone.append(True)
     caller.connection.connectionLost()
-    assert gone == [True] and caller.exchanges[0].gone
+    assert gone == [True] and caller.exchanges[0].disconnected
 
 
 def test_a_slow_reader_pauses_the_source(caller):
@@ -164,7 +164,7 @@
 def test_a_stopping_listener_closes_after_the_answer(caller):
     caller.send(b"GET /a HTTP/1.1\r\nhost: h\r\n\r\n")
     caller.listener.closing = True
-    caller.exchanges[0].answer(200, [], b"x")
+    caller.exchanges[0].respond(200, [], b"x")
     assert b"connection: close" in caller.received.lower()
     assert caller.closed
 
--- a/tests/migration/test_evacuation.py
+++ b/tests/migration/test_evacuation.py
@@ -291,7 +291,7 @@
     clock.advance(0.2)
     connection.body_bytes(encode_event(31))
     clock.advance(1)
-    assert not connection.abandoned and not caller.was_cut
+    assert not connection.abandoned and not caller.aborted
 
 
 def test_stream_on_a_restarted_engine_is_cut_without_a_copy(dated_harness, clock, calls):
@@ -303,7 +303,7 @@
         "leaver",
     )
     clock.advance(0.5)
-    assert connection.abandoned and caller.was_cut
+    assert connection.abandoned and caller.aborted
 
 
 def test_copies_on_a_restarted_engine_are_dropped(dated_harness, clock, calls):
--- a/tests/peers/fleet.py
+++ b/tests/peers/fleet.py
@@ -112,7 +112,7 @@
     def list_objects(self, kind, partial_listing=None):
         return self._failure() or defer.succeed(self.store.listing(kind))
 
-    def watch(self, kind, since, wait, most_bytes=None):
+    def watch(self, kind, since, wait, max_body_bytes=None):
         failure = self._failure(wait)
         if failure is not None:
             return failure
--- a/tests/platform/store_standin.py
+++ b/tests/platform/store_standin.py
@@ -90,8 +90,8 @@
         for kind, since, answer in waiting:
             answer.callback(self._changes(kind, since))
 
-    def request(self, method, url, data=None, timeout=None, most_bytes=None):
-        del most_bytes
+    def request(self, method, url, data=None, timeout=None, max_body_bytes=None):
+        del max_body_bytes
         self.calls.append((method, url))
         if self.fault == "busy":
             return defer.succeed(Reply(429, b"{}"))
--- a/tests/quarantine/crashing_fleet.py
+++ b/tests/quarantine/crashing_fleet.py
@@ -9,7 +9,7 @@
 
 from guavacleat.addresses import format_address
 from guavacleat.forwarding.native import NativeWire
-from guavacleat.http1.client import AnswerListener, EndpointConnection
+from guavacleat.http1.client import EndpointConnection, ResponseListener
 from guavacleat.ingress import IngressService
 from guavacleat.ingress.sources import FileSource, StoreSource
 from guavacleat.membership.registry import EndpointEntry, EndpointState
@@ -94,20 +94,20 @@
         return EndpointEntry(id, "svc", (ip, 80), "", 6, EndpointState.READY, revision)
 
 
-class _OutcomeListener(AnswerListener):
+class _OutcomeListener(ResponseListener):
     """Passes on the outcome of one request: its status, or ``"broken"``."""
 
     def __init__(self, on_outcome):
         self.on_outcome = on_outcome
         self.head = None
 
-    def answer_began(self, head):
+    def response_started(self, head):
         self.head = head
 
-    def answer_ended(self):
+    def response_completed(self):
         self.on_outcome(self.head.status, dict(self.head.headers))
 
-    def answer_broken(self, reason):
+    def response_failed(self, reason):
         self.on_outcome("broken", {})
 
 
--- a/tests/restore/fleet.py
+++ b/tests/restore/fleet.py
@@ -24,7 +24,7 @@
         self.clock, self.store = clock, store
         self.state = "open"
 
-    def request(self, method, url, data=None, timeout=None, most_bytes=None):
+    def request(self, method, url, data=None, timeout=None, max_body_bytes=None):
         self.store.call_count += 1
         if self.state != "open":
             return defer.fail(ConnectionError(self.state))
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -1,7 +1,7 @@
 """Metrics stay bounded however many client accounts there are."""
 
 from guavacleat.metrics import StreamMetrics
-from guavacleat.metrics.book import MAX_ACCOUNTS, OTHER_ACCOUNTS
+from guavacleat.metrics.streams import MAX_ACCOUNTS, OTHER_ACCOUNTS
 
 
 def test_accounts_past_the_bound_share_a_series():
@@ -13,6 +13,6 @@
     metrics = StreamMetrics()
     for number in range(MAX_ACCOUNTS + 20):
         metrics.first_token(f"account-{number}", "standard", 0.1)
-    rows_by_account = {row["account"]: row for row in metrics.book.summary()}
+    rows_by_account = {row["account"]: row for row in metrics.latencies.summary()}
     assert len(rows_by_account) == MAX_ACCOUNTS + 1
     assert rows_by_account[OTHER_ACCOUNTS]["count"] == 20
