--- a/src/guavacleat/http1/calls.py
+++ b/src/guavacleat/http1/calls.py
@@ -9,7 +9,7 @@
 from guavacleat.http1.messages import ResponseHead
 from guavacleat.http1.pool import ConnectionPool
 
-__all__ = ["AnswerTooLargeError", "CallBrokenError", "PooledHttp", "WholeAnswer", "call"]
+__all__ = ["ResponseTooLargeError", "CallBrokenError", "PooledHttp", "WholeAnswer", "call"]
 
 
 class CallBrokenError(Exception):
@@ -25,7 +25,7 @@
         self.received = received
 
 
-class AnswerTooLargeError(CallBrokenError):
+class ResponseTooLargeError(CallBrokenError):
     """The answer's body was larger than the caller of it wanted; the rest is not read."""
 
 
@@ -87,7 +87,7 @@
         self.done.callback(WholeAnswer(self.head, b"".join(self.pieces)))
 
     def response_failed(self, reason: ResponseFailure):
-        kind = AnswerTooLargeError if self.too_large else CallBrokenError
+        kind = ResponseTooLargeError if self.too_large else CallBrokenError
         self.done.errback(kind(reason.value, self.received))
 
 
@@ -107,7 +107,7 @@
 
     :param timeout: seconds that the answer may take; with ``read_timeout``, to its beginning.
     :param read_timeout: longest pause in seconds within the answer, which then takes what it takes.
-    :param max_body_bytes: a larger body is not read on, and raises AnswerTooLargeError.
+    :param max_body_bytes: a larger body is not read on, and raises ResponseTooLargeError.
     """
     try:
         connection = await pool.connect(address)
--- a/src/guavacleat/store/client.py
+++ b/src/guavacleat/store/client.py
@@ -16,7 +16,7 @@
 from eliot import log_message
 from twisted.internet import defer
 
-from guavacleat.http1.calls import AnswerTooLargeError
+from guavacleat.http1.calls import ResponseTooLargeError
 from guavacleat.store.dialect import NativeDialect
 from guavacleat.store.messages import (
     MUST_NOT_EXIST,
@@ -133,7 +133,7 @@
             status, body, era = yield self._call(
                 "GET", path, timeout=timeout, max_body_bytes=max_body_bytes
             )
-        except AnswerTooLargeError as exc:
+        except ResponseTooLargeError as exc:
             raise ChangesTooLargeError(kind, since) from exc
         if status == HISTORY_LOST_STATUS or era > since.era:
             raise HistoryLostError(kind, since)
@@ -185,7 +185,7 @@
             self._check_era(response)
             content = yield response.content()
             self.bytes += len(data or b"") + len(content)
-        except (AnswerTooLargeError, StoreUnavailableError):
+        except (ResponseTooLargeError, StoreUnavailableError):
             raise
         except Exception as exc:  # noqa: BLE001 - every transport failure means "no response"
             detail = f"{exc.__class__.__name__}: {exc}"
--- a/tests/http1/test_calls.py
+++ b/tests/http1/test_calls.py
@@ -4,7 +4,7 @@
 from twisted.internet import defer
 from twisted.internet.testing import StringTransport
 
-from guavacleat.http1.calls import AnswerTooLargeError, CallBrokenError, call
+from guavacleat.http1.calls import CallBrokenError, ResponseTooLargeError, call
 from guavacleat.http1.client import EndpointConnection
 from tests.conftest import result_of
 
@@ -65,7 +65,7 @@
 def test_an_answer_that_is_too_large_is_not_read_on(asked, data):
     connection, answered = asked
     connection.dataReceived(data)
-    with pytest.raises(AnswerTooLargeError):
+    with pytest.raises(ResponseTooLargeError):
         result_of(answered)
     assert not connection.open
 
--- a/tests/ingress/test_large_configuration.py
+++ b/tests/ingress/test_large_configuration.py
@@ -13,7 +13,7 @@
 from tests.ingress.slow_link import LinkReactor, seed_watch_delays
 from tests.platform.store_standin import StoreStandin
 from tests.platform.test_decode import CONFIGURATION
-from tests.platform.test_settings import TEXT
+from tests.platform.test_settings import SETTINGS_TEXT
 
 ROUTES = 4248
 # 5 Mbit/s: about 1.5 s for a configuration of this size.
@@ -38,7 +38,7 @@
 
     def __init__(self, store, seed=0):
         self.reactor = LinkReactor(store, BYTES_PER_SECOND)
-        settings, adapter = parse_process_settings(TEXT), PlatformAdapter()
+        settings, adapter = parse_process_settings(SETTINGS_TEXT), PlatformAdapter()
         self.source = StoreSource(self.reactor, settings, adapter)
         path = adapter.readiness_path
         service = IngressService(self.reactor, settings, adapter.wire, self.source, path)
--- a/tests/ingress/test_sources.py
+++ b/tests/ingress/test_sources.py
@@ -10,12 +10,12 @@
 )
 from guavacleat.platform.adapter import PlatformAdapter
 from guavacleat.platform.settings import parse_process_settings
-from tests.platform.test_settings import TEXT
+from tests.platform.test_settings import SETTINGS_TEXT
 
 
 @pytest.fixture
 def source():
-    return StoreSource(Clock(), parse_process_settings(TEXT), PlatformAdapter())
+    return StoreSource(Clock(), parse_process_settings(SETTINGS_TEXT), PlatformAdapter())
 
 
 def test_few_gateways_watch_without_a_pause(source, monkeypatch):
--- a/tests/peers/fleet.py
+++ b/tests/peers/fleet.py
@@ -22,7 +22,7 @@
 from guavacleat.store import ConflictError, StoredObject, StoreUnavailableError, WatchBatch
 from guavacleat.store.messages import HistoryLostError
 from tests.forwarding.harness import make_entry
-from tests.platform.test_settings import TEXT
+from tests.platform.test_settings import SETTINGS_TEXT
 
 __all__ = ["Fleet", "STEP_SECONDS"]
 
@@ -154,7 +154,7 @@
         self.instance, self.data_centre, self.ip = instance, data_centre, ip
         self.frozen = False
         self.left_ids = []
-        text = TEXT + f"\nnodeName={instance}\nip={ip}\nzone={data_centre}\n"
+        text = SETTINGS_TEXT + f"\nnodeName={instance}\nip={ip}\nzone={data_centre}\n"
         settings = parse_process_settings(text)
         self.clock = fleet.clock
         self.holder = RouteHolder()
--- a/tests/platform/test_fuzz.py
+++ b/tests/platform/test_fuzz.py
@@ -19,7 +19,7 @@
 from guavacleat.store.watch import WatchLoop
 from tests.platform.store_standin import Reply, StoreStandin
 from tests.platform.test_decode import CONFIGURATION
-from tests.platform.test_settings import TEXT
+from tests.platform.test_settings import SETTINGS_TEXT
 
 JSON = st.recursive(
     st.none() | st.booleans() | st.integers() | st.floats(allow_nan=False) | st.text(max_size=5),
@@ -125,7 +125,7 @@
             call.addErrback(lambda failure: pytest.fail(repr(failure.value)))
 
 
-@given(st.text(max_size=200) | st.lists(st.sampled_from(TEXT.splitlines())).map("\n".join))
+@given(st.text(max_size=200) | st.lists(st.sampled_from(SETTINGS_TEXT.splitlines())).map("\n".join))
 def test_any_settings_file_is_read_or_refused_with_a_remedy(text):
     try:
         settings = parse_process_settings(text)
--- a/tests/platform/test_settings.py
+++ b/tests/platform/test_settings.py
@@ -5,7 +5,7 @@
 from guavacleat.errors import SettingsError
 from guavacleat.platform.settings import load_process_settings, parse_process_settings
 
-TEXT = """
+SETTINGS_TEXT = """
 nodeName=front-nasr-a-1
 ip=10.1.0.19
 zone=nasr-a
@@ -21,11 +21,11 @@
 
 
 def without(key):
-    return "\n".join(line for line in TEXT.splitlines() if not line.startswith(key + "="))
+    return "\n".join(line for line in SETTINGS_TEXT.splitlines() if not line.startswith(key + "="))
 
 
 def test_the_file_becomes_typed_settings():
-    settings = parse_process_settings(TEXT)
+    settings = parse_process_settings(SETTINGS_TEXT)
     assert settings.instance == "front-nasr-a-1"
     assert settings.data_centre == "nasr-a"
     assert settings.caller_address == ("10.1.0.19", 8740)
