--- a/src/guavacleat/forwarding/attempt_opener.py
+++ b/src/guavacleat/forwarding/attempt_opener.py
@@ -105,5 +105,5 @@
             backup=backup.entry.id if backup else None,
             runs=load.runs,
             expected=load.peak_tokens,
-            unread=load.unread_tokens,
+            unread=load.pending_prefill_tokens,
         )
--- a/src/guavacleat/forwarding/memory.py
+++ b/src/guavacleat/forwarding/memory.py
@@ -91,8 +91,8 @@
 
     def begin_run(self, entry: EndpointEntry, resumed: bool) -> Run:
         """Record a run on ``entry``; a resumed run has no prompt to prefill."""
-        unread = 0 if resumed else self.request.prompt_tokens
-        run = Run(self.request.metadata.id, self.expected_tokens(), unread)
+        pending_prefill = 0 if resumed else self.request.prompt_tokens
+        run = Run(self.request.metadata.id, self.expected_tokens(), pending_prefill)
         self.load.begin(entry.id, run)
         return run
 
@@ -109,8 +109,8 @@
             run.peak_tokens = self.expected_tokens()
             if self.copy is not None:
                 self._copy_run.peak_tokens = run.peak_tokens
-        if run.unread_tokens:
-            run.unread_tokens = 0
+        if run.pending_prefill_tokens:
+            run.pending_prefill_tokens = 0
             self.load.notify_changed(run)
 
     def set_copy(self, copy: RunCopy | None) -> None:
--- a/src/guavacleat/forwarding/plain.py
+++ b/src/guavacleat/forwarding/plain.py
@@ -71,7 +71,7 @@
 
     def _choose_endpoint(self, request: ForwardedRequest, tried: set[str]) -> EndpointEntry | None:
         if self.context.quarantine.is_unrestricted(request):
-            return self.context.placement.choose_for_call(request.service, tried)
+            return self.context.placement.choose_for_plain_request(request.service, tried)
         return place_isolated(self.context, request, tried)
 
     def _may_retry(self, request: ForwardedRequest, runs: int) -> bool:
@@ -90,7 +90,7 @@
             request.route.kind is not RequestKind.IDEMPOTENT
             or runs + 1 >= request.route.max_attempts
             or not self.context.budget.may_retry(request.service)
-            or self.context.placement.choose_for_call(request.service, tried) is None
+            or self.context.placement.choose_for_plain_request(request.service, tried) is None
         )
 
     def _should_retry_failure(
@@ -99,7 +99,7 @@
         """Whether to retry a server error on another endpoint."""
         if response.head.status < SERVER_ERROR:
             return False
-        others = self.context.placement.choose_for_call(request.service, set()) is not None
+        others = self.context.placement.choose_for_plain_request(request.service, set()) is not None
         return others and self._may_retry(request, runs)
 
     async def _attempt(self, request, entry, last_attempt):
--- a/src/guavacleat/forwarding/session.py
+++ b/src/guavacleat/forwarding/session.py
@@ -151,7 +151,7 @@
             if entry is not None or request.traits.engine is None:
                 return entry
         if request.traits.engine is None:
-            return self.context.placement.choose_for_call(request.service, tried)
+            return self.context.placement.choose_for_plain_request(request.service, tried)
         self.pending_placement = self.context.queue.acquire(request, tried)
         try:
             entry = await self.pending_placement
--- a/src/guavacleat/ingress/service.py
+++ b/src/guavacleat/ingress/service.py
@@ -75,7 +75,7 @@
         self.crashes = CrashTracker(reactor)
         quarantine = QuarantineGuard(reactor, self.crashes, EndpointProbe(self.pool, self.registry))
         placement = Placement(
-            self.registry, self.load, settings.data_centre, avoided=quarantine.trial_endpoints
+            self.registry, self.load, settings.data_centre, avoided_ids=quarantine.trial_endpoints
         )
         queue = GenerationQueue(reactor, placement)
         self.load.listeners.append(queue.schedule_dispatch)
--- a/src/guavacleat/peers/report.py
+++ b/src/guavacleat/peers/report.py
@@ -103,7 +103,7 @@
     # Revisions contain the era in their high bits; offsets from the era's first revision are short.
     base_revision = Revision.of(Revision(report.endpoints_revision or 0).era, 0)
     loads = [
-        ttypes.EndpointLoad(id, load.runs, load.peak_tokens, load.unread_tokens)
+        ttypes.EndpointLoad(id, load.runs, load.peak_tokens, load.pending_prefill_tokens)
         for id, load in report.loads_by_endpoint.items()
     ]
     message = ttypes.PeerReport(
--- a/src/guavacleat/placement/choice.py
+++ b/src/guavacleat/placement/choice.py
@@ -46,7 +46,8 @@
 class Placement:
     """Chooses among the ready endpoints of a service.
 
-    :param avoided: returns the ids of endpoints that get new requests only if there are no others.
+    :param avoided_ids: returns the ids of endpoints that get new requests only if there are no
+        others.
     """
 
     def __init__(
@@ -55,26 +56,26 @@
         load: LoadTracker,
         data_centre: str,
         seed=None,
-        avoided=frozenset,
+        avoided_ids=frozenset,
     ):
         self.registry = registry
-        self.avoided = avoided
+        self.avoided_ids = avoided_ids
         self.load = load
         self.data_centre = data_centre
         self.random = random.Random(seed)
 
-    def choose_for_call(self, service: str, exclude: set[str]) -> EndpointEntry | None:
+    def choose_for_plain_request(self, service: str, exclude: set[str]) -> EndpointEntry | None:
         """The endpoint for a plain request: the fewest requests per slot and recent failures."""
         ready = self.ready(service, exclude)
-        return min(ready, key=self._call_cost, default=None)
+        return min(ready, key=self._plain_request_cost, default=None)
 
     def ready(self, service: str, exclude: set[str]) -> list[EndpointEntry]:
         """Endpoints of ``service`` that accept new requests, without those in ``exclude`` (ids)."""
         ready = [entry for entry in self.registry.ready(service) if entry.id not in exclude]
-        avoided = self.avoided()
-        if not avoided:
+        avoided_ids = self.avoided_ids()
+        if not avoided_ids:
             return ready
-        return [entry for entry in ready if entry.id not in avoided] or ready
+        return [entry for entry in ready if entry.id not in avoided_ids] or ready
 
     def least_loaded(self, request, exclude: set[str]) -> EndpointEntry | None:
         """The endpoint with the fewest runs, for a request that may crash it; None if all are full.
@@ -111,7 +112,7 @@
         if load.runs == 0:
             return True
         return (
-            load.unread_tokens <= MAX_PENDING_PREFILL_TOKENS
+            load.pending_prefill_tokens <= MAX_PENDING_PREFILL_TOKENS
             and load.runs < engine.slots
             and self.memory_share(entry, expected, engine) <= MAX_MEMORY_SHARE
         )
@@ -164,7 +165,7 @@
         """Share of the engine's memory in use with ``expected`` additional tokens."""
         return (self.load.total(entry.id).peak_tokens + expected) / max(1, engine.memory_tokens)
 
-    def _call_cost(self, entry: EndpointEntry) -> tuple[float, float]:
+    def _plain_request_cost(self, entry: EndpointEntry) -> tuple[float, float]:
         load = self.load.total(entry.id)
         remote_penalty = 0.0 if entry.data_centre == self.data_centre else LOCAL_BIAS
         return (
@@ -177,7 +178,7 @@
         load = self.load.total(entry.id)
         share = (load.peak_tokens + expected) / max(1, engine.memory_tokens)
         seconds = (
-            load.unread_tokens / PREFILL_TOKENS_PER_SECOND
+            load.pending_prefill_tokens / PREFILL_TOKENS_PER_SECOND
             + MEMORY_PRESSURE_SECONDS
             * max(0.0, share - USABLE_MEMORY_SHARE)
             / (1 - USABLE_MEMORY_SHARE)
--- a/src/guavacleat/placement/load.py
+++ b/src/guavacleat/placement/load.py
@@ -12,26 +12,26 @@
     """A request running on an endpoint, or memory reserved there for a copy or a move.
 
     :param peak_tokens: engine memory that it is expected to hold at its end; 0 for plain requests.
-    :param unread_tokens: its prompt tokens awaiting prefill; 0 after its first event.
+    :param pending_prefill_tokens: its prompt tokens awaiting prefill; 0 after its first event.
     """
 
-    __slots__ = ("id", "peak_tokens", "unread_tokens")
+    __slots__ = ("id", "peak_tokens", "pending_prefill_tokens")
 
-    def __init__(self, id: str, peak_tokens: int = 0, unread_tokens: int = 0):
+    def __init__(self, id: str, peak_tokens: int = 0, pending_prefill_tokens: int = 0):
         self.id = id
         self.peak_tokens = peak_tokens
-        self.unread_tokens = unread_tokens
+        self.pending_prefill_tokens = pending_prefill_tokens
 
 
 class EndpointLoad:
     """Number of runs on one endpoint, and the sums of their :class:`Run` fields."""
 
-    __slots__ = ("runs", "peak_tokens", "unread_tokens")
+    __slots__ = ("runs", "peak_tokens", "pending_prefill_tokens")
 
-    def __init__(self, runs: int = 0, peak_tokens: int = 0, unread_tokens: int = 0):
+    def __init__(self, runs: int = 0, peak_tokens: int = 0, pending_prefill_tokens: int = 0):
         self.runs = runs
         self.peak_tokens = peak_tokens
-        self.unread_tokens = unread_tokens
+        self.pending_prefill_tokens = pending_prefill_tokens
 
     def add(self, other: "EndpointLoad") -> "EndpointLoad":
         """Add ``other`` to this load and return this load."""
@@ -94,7 +94,7 @@
         return EndpointLoad(
             len(runs),
             sum(run.peak_tokens for run in runs),
-            sum(run.unread_tokens for run in runs),
+            sum(run.pending_prefill_tokens for run in runs),
         )
 
     def total(self, endpoint_id: str) -> EndpointLoad:
--- a/tests/admission/test_generations.py
+++ b/tests/admission/test_generations.py
@@ -52,9 +52,9 @@
         return self.results[0] if self.results else "waits"
 
 
-def occupy(harness, name="e1", tokens=ENGINE.memory_tokens, unread=0):
+def occupy(harness, name="e1", tokens=ENGINE.memory_tokens, pending_prefill=0):
     """Occupy an engine's memory; return the run."""
-    run = Run(f"full-{name}", tokens, unread)
+    run = Run(f"full-{name}", tokens, pending_prefill)
     harness.load.begin(name, run)
     return run
 
@@ -83,10 +83,10 @@
 
 
 def test_queued_request_is_dispatched_after_a_prefill(harness):
-    first = occupy(harness, tokens=3000, unread=MAX_PENDING_PREFILL_TOKENS + 1)
+    first = occupy(harness, tokens=3000, pending_prefill=MAX_PENDING_PREFILL_TOKENS + 1)
     outcome = ask(harness)
     assert outcome.result == "waits"
-    first.unread_tokens = 0
+    first.pending_prefill_tokens = 0
     harness.load.notify_changed(first)
     run_dispatch(harness)
     assert outcome.result == "e1"
--- a/tests/forwarding/harness.py
+++ b/tests/forwarding/harness.py
@@ -83,7 +83,7 @@
 
     def abandon(self):
         self.open, self.abandoned = False, True
-        self.break_off(ResponseFailure.ABANDONED)
+        self.break_connection(ResponseFailure.ABANDONED)
 
     def begin(self, status=200, id=b"r1", signed=True, not_run=False):
         headers = [(b"id", id)] if id is not None else []
@@ -91,7 +91,7 @@
         headers += [(b"not-run", b"1")] if not_run else []
         self.listener.response_started(ResponseHead(status, b"", headers))
 
-    def body_bytes(self, data):
+    def send_body(self, data):
         if self.listener is not None:
             self.listener.response_data_received(data)
 
@@ -100,7 +100,7 @@
         if listener is not None:
             listener.response_completed()
 
-    def break_off(self, reason=ResponseFailure.RESET):
+    def break_connection(self, reason=ResponseFailure.RESET):
         listener, self.listener = self.listener, None
         if listener is not None:
             listener.response_failed(reason)
@@ -108,7 +108,7 @@
     def answer(self, status=200, body=b"", **changes):
         self.begin(status, **changes)
         if body:
-            self.body_bytes(body)
+            self.send_body(body)
         self.end()
 
 
@@ -173,7 +173,7 @@
         self.crashes = CrashTracker(clock)
         quarantine = QuarantineGuard(clock, self.crashes, EndpointProbe(self.pool, self.registry))
         placement = Placement(
-            self.registry, self.load, "dc", seed=1, avoided=quarantine.trial_endpoints
+            self.registry, self.load, "dc", seed=1, avoided_ids=quarantine.trial_endpoints
         )
         bounds = bounds or Bounds(retry_extra=100)
         budget = RetryBudget(clock, bounds, lambda: 1)
--- a/tests/forwarding/test_plain.py
+++ b/tests/forwarding/test_plain.py
@@ -37,7 +37,7 @@
     # (action of the first endpoint, whether a non-idempotent request may be retried)
     (lambda connection: connection.answer(503, signed=False, not_run=True, id=None), True),
     (lambda connection: connection.answer(421, signed=False, id=None), True),
-    (lambda connection: connection.break_off(), False),
+    (lambda connection: connection.break_connection(), False),
     (lambda connection: connection.answer(signed=False), False),
     (lambda connection: connection.answer(id=b"another"), False),
     (lambda connection: connection.answer(503, signed=False, id=None), False),
@@ -69,8 +69,8 @@
 
 def test_route_limits_the_number_of_attempts(harness):
     _, _, refusals = start_request(harness, attempts=2)
-    harness.pool.connections[0].break_off()
-    harness.pool.connections[1].break_off()
+    harness.pool.connections[0].break_connection()
+    harness.pool.connections[1].break_connection()
     assert len(harness.pool.connections) == 2
     assert refusals[0].reason is RefusalReason.BROKEN
 
@@ -79,7 +79,7 @@
     """Guards against retries that add load to failing endpoints."""
     harness = ForwardingHarness(clock, engine=None, bounds=Bounds(retry_ratio=0.0, retry_extra=0.0))
     _, _, refusals = start_request(harness)
-    harness.pool.connections[0].break_off()
+    harness.pool.connections[0].break_connection()
     assert len(harness.pool.connections) == 1
     assert refusals[0].reason is RefusalReason.BROKEN
 
@@ -128,9 +128,9 @@
     _, caller, _ = start_request(harness)
     connection = harness.pool.connections[0]
     connection.begin()
-    connection.body_bytes(b"x" * (MAX_BUFFERED_BYTES + 1))
+    connection.send_body(b"x" * (MAX_BUFFERED_BYTES + 1))
     assert len(caller.data) == MAX_BUFFERED_BYTES + 1
-    connection.break_off()
+    connection.break_connection()
     assert caller.aborted and not caller.complete
     assert len(harness.pool.connections) == 1
 
--- a/tests/forwarding/test_plain_machine.py
+++ b/tests/forwarding/test_plain_machine.py
@@ -23,14 +23,14 @@
         False,
     ),
     "misdirect": (lambda connection: connection.answer(421, signed=False, id=None), False),
-    "reset": (lambda connection: connection.break_off(), True),
+    "reset": (lambda connection: connection.break_connection(), True),
     "foreign": (lambda connection: connection.answer(id=b"r2", body=b"foreign"), True),
     "unsigned": (lambda connection: connection.answer(signed=False, body=b"unsigned"), True),
     "half": (
         lambda connection: (
             connection.begin(),
-            connection.body_bytes(b"ow"),
-            connection.break_off(),
+            connection.send_body(b"ow"),
+            connection.break_connection(),
         ),
         True,
     ),
--- a/tests/forwarding/test_quarantine.py
+++ b/tests/forwarding/test_quarantine.py
@@ -47,7 +47,7 @@
 
 def crash_endpoint(harness, connection):
     harness.pool.refused.add(connection.address)
-    connection.break_off(ResponseFailure.RESET)
+    connection.break_connection(ResponseFailure.RESET)
 
 
 def add_runs(harness, name, runs):
@@ -128,7 +128,7 @@
     session, caller, _ = start_stream(harness, crash_count)
     connection = harness.pool.connections[0]
     connection.begin()
-    connection.body_bytes(encode_event(1))
+    connection.send_body(encode_event(1))
     copy_holder = next(name for name in ("e1", "e2", "e3") if name != connection.address[0])
     session.memory.set_copy(RunCopy(make_entry(copy_holder), make_entry(copy_holder), "h1"))
     return session, caller, connection, copy_holder
@@ -173,7 +173,7 @@
     """Guards against sending queued duplicates of a request that crashed endpoints."""
     harness = ForwardingHarness(clock)
     for name in ("e1", "e2", "e3"):
-        harness.load.begin(name, Run("full", peak_tokens=30000, unread_tokens=5000))
+        harness.load.begin(name, Run("full", peak_tokens=30000, pending_prefill_tokens=5000))
     session, _, refusals = start_stream(harness)
     assert harness.queue.waiting("svc") == 1
     record_crashes(harness, session.request, 3)
@@ -187,7 +187,7 @@
 def test_invalid_response_is_not_counted_as_a_crash(clock, reason):
     harness = ForwardingHarness(clock, engine=None)
     request, _, _ = start_plain(harness, attempts=1)
-    harness.pool.connections[0].break_off(reason)
+    harness.pool.connections[0].break_connection(reason)
     assert harness.crashes.crash_count(request.content_key) == 0
 
 
--- a/tests/forwarding/test_session.py
+++ b/tests/forwarding/test_session.py
@@ -37,7 +37,7 @@
     session, caller, refusals = start_stream(harness)
     connection = harness.pool.connections[0]
     connection.begin()
-    connection.body_bytes(b"".join(encode_event(id) for id in range(1, events + 1)))
+    connection.send_body(b"".join(encode_event(id) for id in range(1, events + 1)))
     return session, caller, connection
 
 
@@ -53,12 +53,12 @@
     """Guards against lost or duplicate events after an engine fails within an event."""
     session, caller, connection = start_running_stream(harness)
     session.memory.set_copy(RunCopy(make_entry("e2"), make_entry("e2"), "h1"))
-    connection.body_bytes(encode_event(4)[:7])
-    connection.break_off()
+    connection.send_body(encode_event(4)[:7])
+    connection.break_connection()
     second_connection = harness.pool.connections[1]
     assert second_connection.headers[b"resume"] == b"h1 3"
     second_connection.begin()
-    second_connection.body_bytes(encode_event(3) + encode_event(4) + encode_event(5))
+    second_connection.send_body(encode_event(3) + encode_event(4) + encode_event(5))
     second_connection.end()
     assert caller.data == b"".join(map(encode_event, range(1, 6)))
     assert caller.complete
@@ -67,21 +67,21 @@
 def test_missing_event_ends_the_stream(harness):
     """Guards against completing a stream in which an event id was skipped."""
     _, caller, connection = start_running_stream(harness)
-    connection.body_bytes(encode_event(5))
+    connection.send_body(encode_event(5))
     assert caller.aborted and not caller.complete
     assert encode_event(5) not in caller.data
 
 
 def test_stream_without_copy_is_cut_when_its_engine_fails(harness):
     _, caller, connection = start_running_stream(harness)
-    connection.break_off()
+    connection.break_connection()
     assert caller.aborted and not caller.complete
     assert len(harness.pool.connections) == 1
 
 
 def test_stream_with_a_truncated_last_event_is_cut(harness):
     _, caller, connection = start_running_stream(harness)
-    connection.body_bytes(b"id: 4\ndata: half")
+    connection.send_body(b"id: 4\ndata: half")
     connection.end()
     assert caller.aborted and not caller.complete
 
@@ -91,7 +91,7 @@
     harness.pool.connections[0].answer(503, signed=False, not_run=True, id=None)
     second_connection = harness.pool.connections[1]
     second_connection.begin()
-    second_connection.body_bytes(encode_event(1))
+    second_connection.send_body(encode_event(1))
     second_connection.end()
     assert caller.data == encode_event(1) and caller.complete
 
@@ -99,7 +99,7 @@
 def test_stream_is_not_retried_after_a_failure_before_its_first_event(harness):
     """Guards against generating twice, because the engine may have started the run."""
     _, _, refusals = start_stream(harness)
-    harness.pool.connections[0].break_off()
+    harness.pool.connections[0].break_connection()
     assert len(harness.pool.connections) == 1
     assert refusals[0].reason is RefusalReason.BROKEN
 
@@ -141,7 +141,7 @@
 def test_stream_is_cut_if_its_copy_no_longer_exists(harness):
     session, caller, connection = start_running_stream(harness)
     session.memory.set_copy(RunCopy(make_entry("e2"), make_entry("e2"), "h1"))
-    connection.break_off()
+    connection.break_connection()
     harness.pool.connections[1].answer(503, signed=False, not_run=True, id=None)
     assert caller.aborted and not caller.complete
 
@@ -154,8 +154,8 @@
     first = harness.pool.connections[0]
     backup_engine = first.headers[b"copy-to"].decode()
     first.begin()
-    first.body_bytes(encode_event(1))
-    first.break_off()
+    first.send_body(encode_event(1))
+    first.break_connection()
     second_connection = harness.pool.connections[1]
     assert second_connection.address[0] == backup_engine
     assert second_connection.headers[b"copy-to"].decode() not in (backup_engine, first.address[0])
@@ -178,7 +178,7 @@
     session, _, _ = start_stream(harness, max_output_tokens=2000, expected_output_tokens=8.0)
     connection = harness.pool.connections[0]
     connection.begin()
-    connection.body_bytes(b"".join(encode_event(id) for id in range(1, 101)))
+    connection.send_body(b"".join(encode_event(id) for id in range(1, 101)))
     assert session.memory.tokens == 1400
     assert harness.load.total(connection.address[0]).peak_tokens > 1400
 
@@ -188,7 +188,7 @@
     session, caller, connection = start_running_stream(harness, events)
     session.memory.set_copy(RunCopy(make_entry("e2"), make_entry("e2"), "h1"))
     done = defer.Deferred.fromCoroutine(session.hand_over())
-    connection.body_bytes(encode_event(events + 1))
+    connection.send_body(encode_event(events + 1))
     return session, caller, connection, harness.pool.connections[1], done
 
 
@@ -196,9 +196,9 @@
     session, caller, connection, second_connection, done = start_handover(harness)
     assert second_connection.headers[b"resume"] == b"h1 4" and connection.open
     second_connection.begin()
-    second_connection.body_bytes(encode_event(5))
+    second_connection.send_body(encode_event(5))
     assert not connection.open and session.attempt.entry.id == "e2"
-    second_connection.body_bytes(encode_event(6))
+    second_connection.send_body(encode_event(6))
     second_connection.end()
     assert caller.complete and caller.data == b"".join(map(encode_event, range(1, 7)))
     assert done.result is True
@@ -208,12 +208,12 @@
 def test_events_are_delayed_and_not_duplicated_during_a_handover(harness):
     """Guards against a long pause or duplicate events while the new engine starts."""
     _, caller, connection, second_connection, _ = start_handover(harness)
-    connection.body_bytes(encode_event(5))
+    connection.send_body(encode_event(5))
     harness.clock.advance(EVENT_DELAY_SECONDS)
     assert caller.data.endswith(encode_event(5))
-    connection.body_bytes(encode_event(6))
+    connection.send_body(encode_event(6))
     second_connection.begin()
-    second_connection.body_bytes(encode_event(5) + encode_event(6) + encode_event(7))
+    second_connection.send_body(encode_event(5) + encode_event(6) + encode_event(7))
     harness.clock.advance(EVENT_DELAY_SECONDS)
     assert caller.data == b"".join(map(encode_event, range(1, 8)))
 
@@ -221,7 +221,7 @@
 def test_stream_that_ends_during_a_handover_is_complete(harness):
     """Guards against losing delayed events at the end of the stream."""
     _, caller, connection, second_connection, done = start_handover(harness)
-    connection.body_bytes(encode_event(5) + encode_event(6))
+    connection.send_body(encode_event(5) + encode_event(6))
     connection.end()
     assert caller.complete and caller.data == b"".join(map(encode_event, range(1, 7)))
     assert second_connection.abandoned and done.result is False
@@ -229,10 +229,10 @@
 
 def test_no_event_is_lost_if_the_current_engine_fails_during_a_handover(harness):
     _, caller, connection, second_connection, done = start_handover(harness)
-    connection.body_bytes(encode_event(5))
-    connection.break_off()
+    connection.send_body(encode_event(5))
+    connection.break_connection()
     second_connection.begin()
-    second_connection.body_bytes(encode_event(5) + encode_event(6))
+    second_connection.send_body(encode_event(5) + encode_event(6))
     second_connection.end()
     assert caller.complete and caller.data == b"".join(map(encode_event, range(1, 7)))
     assert done.result is True
@@ -240,10 +240,10 @@
 
 def test_stream_stays_on_its_engine_after_a_refused_handover(harness):
     session, caller, connection, second_connection, done = start_handover(harness)
-    connection.body_bytes(encode_event(5))
+    connection.send_body(encode_event(5))
     second_connection.answer(503, signed=False, not_run=True, id=None)
     assert done.result is False
-    connection.body_bytes(encode_event(6))
+    connection.send_body(encode_event(6))
     connection.end()
     assert caller.complete and caller.data == b"".join(map(encode_event, range(1, 7)))
     assert harness.load.runs_by_endpoint == {}
@@ -255,7 +255,7 @@
     harness.clock.advance(OVERLAP_SECONDS)
     assert not connection.open and second_connection.open and caller.open
     second_connection.begin()
-    second_connection.body_bytes(encode_event(5))
+    second_connection.send_body(encode_event(5))
     second_connection.end()
     assert caller.complete
 
@@ -275,15 +275,15 @@
     second_connection.begin()
     for step in steps:
         if step == "present" and connection.open:
-            connection.body_bytes(encode_event(next(current)))
+            connection.send_body(encode_event(next(current)))
         elif step == "other" and second_connection.open:
-            second_connection.body_bytes(encode_event(next(new)))
+            second_connection.send_body(encode_event(next(new)))
         elif step == "wait":
             harness.clock.advance(0.05)
         elif step == "break":
-            connection.break_off()
+            connection.break_connection()
         elif step == "refuse":
-            second_connection.break_off()
+            second_connection.break_connection()
     harness.clock.advance(1.0)
     all_events = b"".join(map(encode_event, range(1, 100)))
     assert all_events.startswith(caller.data)
@@ -315,10 +315,10 @@
             break
         if step == "event":
             next_id = (session.last_event or 0) + data.draw(st.integers(-1, 2))
-            connection.body_bytes(encode_event(max(1, next_id)))
+            connection.send_body(encode_event(max(1, next_id)))
         elif step == "break":
             session.memory.set_copy(RunCopy(make_entry("e2"), make_entry("e2"), "h"))
-            connection.break_off()
+            connection.break_connection()
             if harness.pool.connections[-1] is not connection:
                 harness.pool.connections[-1].begin()
         else:
--- a/tests/ingress/test_dispatch.py
+++ b/tests/ingress/test_dispatch.py
@@ -200,8 +200,8 @@
     send_request(dispatch, path="/stream/x")
     connection = harness.pool.connections[0]
     connection.begin()
-    connection.body_bytes(encode_event(1))
-    connection.break_off()
+    connection.send_body(encode_event(1))
+    connection.break_connection()
     assert [line["outcome"] for line in end_lines] == ["CUT"]
 
 
@@ -243,7 +243,7 @@
     send_request(dispatch, path)
     connection = harness.pool.connections[0]
     connection.begin()
-    connection.body_bytes(encode_event(1))
+    connection.send_body(encode_event(1))
     harness.clock.advance(0.5)
     connection.end()
     assert [line["late"] for line in end_lines] == [late]
--- a/tests/migration/test_evacuation.py
+++ b/tests/migration/test_evacuation.py
@@ -65,7 +65,7 @@
         defer.Deferred.fromCoroutine(session.run()).addErrback(lambda failure: None)
         connection = harness.pool.connections[-1]
         connection.begin(id=f"r{number}".encode())
-        connection.body_bytes(b"".join(encode_event(id) for id in range(1, events + 1)))
+        connection.send_body(b"".join(encode_event(id) for id in range(1, events + 1)))
         found.append((session, caller, connection))
     return sessions, found
 
@@ -83,7 +83,7 @@
     """Send the engine's next events at intervals of 30 ms."""
     for id in range(first, first + count):
         harness.clock.advance(0.03)
-        connection.body_bytes(encode_event(id))
+        connection.send_body(encode_event(id))
 
 
 def test_streams_are_copied_one_at_a_time_without_stopping(harness, calls):
@@ -112,11 +112,11 @@
         assert len(harness.pool.connections) == number + 1
         second_connection = harness.pool.connections[number]
         second_connection.begin(id=id)
-        second_connection.body_bytes(encode_event(32))
+        second_connection.send_body(encode_event(32))
         for next_id in range(32, 35):
             harness.clock.advance(0.03)
             for _, _, connection in found:
-                connection.body_bytes(encode_event(next_id))
+                connection.send_body(encode_event(next_id))
     assert not any(connection.open for _, _, connection in found)
 
 
@@ -162,8 +162,8 @@
     sessions, [(session, caller, connection)] = start_streams(harness, 1)
     announce_leaving(harness, sessions)
     calls.answer(0, 200, "h0")
-    connection.body_bytes(encode_event(31))
-    connection.break_off()
+    connection.send_body(encode_event(31))
+    connection.break_connection()
     assert harness.pool.connections[1].headers[b"resume"] == b"h0 31"
 
 
@@ -289,7 +289,7 @@
         "leaver",
     )
     clock.advance(0.2)
-    connection.body_bytes(encode_event(31))
+    connection.send_body(encode_event(31))
     clock.advance(1)
     assert not connection.abandoned and not caller.aborted
 
--- a/tests/peers/test_peers.py
+++ b/tests/peers/test_peers.py
@@ -155,7 +155,7 @@
 
 def test_a_gateway_registers_lists_the_others_and_reports_changes(clock):
     peer_exchange, load = make_exchange(clock, FakeStore())
-    load.begin("e1", Run("r1", peak_tokens=500, unread_tokens=300))
+    load.begin("e1", Run("r1", peak_tokens=500, pending_prefill_tokens=300))
     clock.advance(0.02)
     last, address = peer_exchange.transport.sent[-1]
     assert address == ("10.0.0.2", 7200)
--- a/tests/placement/test_choice.py
+++ b/tests/placement/test_choice.py
@@ -28,22 +28,22 @@
 def test_generations_spread_over_engines(harness):
     for number in range(4):
         found = place(harness)
-        harness.load.begin(found, Run(f"r{number}", peak_tokens=1000, unread_tokens=900))
+        harness.load.begin(found, Run(f"r{number}", peak_tokens=1000, pending_prefill_tokens=900))
     assert [harness.load.local(id).runs for id in ("e1", "e2")] == [2, 2]
 
 
 def test_request_goes_to_the_engine_with_less_pending_prefill(harness):
     """First tokens must not wait for prefills while another engine has none pending."""
     for number in range(3):
-        harness.load.begin("e1", Run(f"a{number}", peak_tokens=3000, unread_tokens=2900))
-        harness.load.begin("e2", Run(f"b{number}", peak_tokens=3000, unread_tokens=0))
+        harness.load.begin("e1", Run(f"a{number}", peak_tokens=3000, pending_prefill_tokens=2900))
+        harness.load.begin("e2", Run(f"b{number}", peak_tokens=3000, pending_prefill_tokens=0))
     assert place(harness) == "e2"
 
 
 def test_engine_without_memory_is_avoided(harness):
     harness.load.begin("e1", Run("a", peak_tokens=ENGINE.memory_tokens))
     for number in range(6):
-        harness.load.begin("e2", Run(f"b{number}", peak_tokens=2000, unread_tokens=300))
+        harness.load.begin("e2", Run(f"b{number}", peak_tokens=2000, pending_prefill_tokens=300))
     assert place(harness) == "e2"
 
 
@@ -57,10 +57,10 @@
 def test_failing_endpoint_is_avoided_for_the_failure_window(harness, clock):
     for _ in range(3):
         harness.load.record_failure("e1")
-    calls = [harness.context.placement.choose_for_call("svc", set()).id for _ in range(20)]
+    calls = [harness.context.placement.choose_for_plain_request("svc", set()).id for _ in range(20)]
     assert set(calls) == {"e2"}
     clock.advance(FAILURE_WINDOW_SECONDS)
-    calls = [harness.context.placement.choose_for_call("svc", set()).id for _ in range(20)]
+    calls = [harness.context.placement.choose_for_plain_request("svc", set()).id for _ in range(20)]
     assert set(calls) == {"e1", "e2"}
 
 
