--- a/benchmarks/quarantine_cost.py
+++ b/benchmarks/quarantine_cost.py
@@ -46,7 +46,7 @@
     memory, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
     news = CrashGossip(clock, book)
-    told = news.build_message(1e9, forwards=True, everything=True)
+    told = news.build_message(1e9, include_remote=True, include_quarantined=True)
     empty = len(encode_report(GatewayReport("g1", 1, 1, {})))
     full = len(encode_report(GatewayReport("g1", 1, 1, {}, crashes=told)))
     print(f"book at its bounds: {memory / 1024:.0f} KB; a report: {full - empty} bytes of crashes")
--- a/src/guavacleat/commands/ctl.py
+++ b/src/guavacleat/commands/ctl.py
@@ -14,7 +14,7 @@
 from guavacleat.ctl import apply_settings, read_status
 from guavacleat.errors import GuavacleatError, SettingsError
 from guavacleat.gateway.sidecars import SidecarPool
-from guavacleat.orders.issue import send_order
+from guavacleat.orders.send import send_order
 from guavacleat.store import Revision, StoreClient
 
 flags.declare_key_flag("store")
--- a/src/guavacleat/gateway/service.py
+++ b/src/guavacleat/gateway/service.py
@@ -74,7 +74,9 @@
                 pause=lambda: ENDPOINT_WATCH_PAUSE_SECONDS,
             ),
         ]
-        self.instance_poll = InstancePoller(reactor, self.store, self.membership.instances_leaving)
+        self.instance_poll = InstancePoller(
+            reactor, self.store, self.membership.set_leaving_instances
+        )
         self.in_flight = 0
         self.stopping = False
         self.port = None
--- a/src/guavacleat/ingress/dispatch.py
+++ b/src/guavacleat/ingress/dispatch.py
@@ -192,7 +192,7 @@
         If a peer reports a newer version, which may have the route or the key, the request is
         refused as not run, so that the caller retries on another gateway.
         """
-        newest = self.peers.newest_configuration()
+        newest = self.peers.newest_configuration_version()
         if newest is not None and newest > table.version:
             detail = f"version {newest} is in force elsewhere"
             return RefusalError(RefusalReason.BEHIND, RETRY_AFTER_OUTDATED, detail)
--- a/src/guavacleat/ingress/service.py
+++ b/src/guavacleat/ingress/service.py
@@ -72,8 +72,10 @@
         self.peers = PeerTable(reactor)
         self.load.peers = self.peers
         self.metrics = IngressMetrics()
-        self.crashes = CrashTracker(reactor)
-        quarantine = QuarantineGuard(reactor, self.crashes, EndpointProbe(self.pool, self.registry))
+        self.crash_tracker = CrashTracker(reactor)
+        quarantine = QuarantineGuard(
+            reactor, self.crash_tracker, EndpointProbe(self.pool, self.registry)
+        )
         placement = Placement(
             self.registry, self.load, settings.data_centre, avoided_ids=quarantine.trial_endpoints
         )
@@ -170,7 +172,7 @@
 
     def _exposition(self) -> bytes:
         self.metrics.update_configuration(self.holder, self.source.failures_by_kind())
-        self.metrics.update_quarantine(self.crashes)
+        self.metrics.update_quarantine(self.crash_tracker)
         self.metrics.update_control_traffic(self.source.control_traffic())
         return self.metrics.exposition()
 
--- a/src/guavacleat/ingress/sources.py
+++ b/src/guavacleat/ingress/sources.py
@@ -118,11 +118,11 @@
             self.registry,
             self.configuration,
             self.endpoints,
-            ingress.crashes,
+            ingress.crash_tracker,
             self._peer_report_received,
         )
         self.quarantine_record = QuarantineRecord(
-            self.reactor, self.store, ingress.crashes, self._should_read_quarantine
+            self.reactor, self.store, ingress.crash_tracker, self._should_read_quarantine
         )
         self.quarantine_record.start()
         self.store.era_listeners.append(self._store_restored)
--- a/src/guavacleat/membership/lease.py
+++ b/src/guavacleat/membership/lease.py
@@ -34,10 +34,10 @@
         self.on_superseded = on_superseded or (lambda: None)
         self.version: int | None = None
         self.held = False
-        self.displaced: str | None = None
+        self.previous_session: str | None = None
         self.superseded = False
         self.failures = 0
-        self.rounds = Periodic(clock, HEARTBEAT_SECONDS, self.renew)
+        self.heartbeat = Periodic(clock, HEARTBEAT_SECONDS, self.renew)
 
     @defer.inlineCallbacks
     def renew(self):
@@ -57,7 +57,7 @@
     def _write(self):
         if self.version is None:
             current = yield self.store.get(ENDPOINT_KIND, self.record.name)
-            if current is not None and self._taken_over(current.value):
+            if current is not None and self._is_taken_over(current.value):
                 self._stop_superseded()
                 return
             self.version = current.version if current else 0
@@ -75,7 +75,7 @@
         before = (current.value.get("session", ""), *current.value.get("displaced", ()))
         self.record.displaced = before[:MAX_DISPLACED_SESSIONS]
 
-    def _taken_over(self, value: dict) -> bool:
+    def _is_taken_over(self, value: dict) -> bool:
         """Whether another session has taken the record over from this one.
 
         An unanswered first write may not have displaced the previous session. The record then
@@ -87,13 +87,13 @@
             return False
         if self.held or self.record.session in value.get("displaced", ()):
             return True
-        if self.displaced is None:
-            self.displaced = session
-        return session != self.displaced
+        if self.previous_session is None:
+            self.previous_session = session
+        return session != self.previous_session
 
     def _stop_superseded(self) -> None:
         self.superseded = True
-        self.rounds.stop()
+        self.heartbeat.stop()
         log_message(message_type="lease:superseded", endpoint=self.record.name)
         self.on_superseded()
 
--- a/src/guavacleat/membership/registry.py
+++ b/src/guavacleat/membership/registry.py
@@ -112,13 +112,15 @@
 class EndpointChange:
     """The latest known state of an endpoint: its entry, or None if it was removed."""
 
-    __slots__ = ("id", "revision", "entry", "at")
+    __slots__ = ("id", "revision", "entry", "recorded_at")
 
-    def __init__(self, id: str, revision: int, entry: EndpointEntry | None, at: float = 0.0):
+    def __init__(
+        self, id: str, revision: int, entry: EndpointEntry | None, recorded_at: float = 0.0
+    ):
         self.id = id
         self.revision = revision
         self.entry = entry
-        self.at = at
+        self.recorded_at = recorded_at
 
 
 class EndpointRegistry:
@@ -211,7 +213,7 @@
         self.observe(entry.in_state(EndpointState.DRAINING, entry.revision + 1))
 
     @property
-    def store_away(self) -> bool:
+    def store_lost(self) -> bool:
         """Whether the last watch call failed."""
         return self.store_lost_at is not None
 
@@ -278,11 +280,13 @@
         old = [
             id
             for id, change in self.changes_by_id.items()
-            if change.at < oldest and id not in self.entries_by_id
+            if change.recorded_at < oldest and id not in self.entries_by_id
         ]
         for id in old:
             del self.changes_by_id[id]
-        return [change for change in self.changes_by_id.values() if change.at >= now - seconds]
+        return [
+            change for change in self.changes_by_id.values() if change.recorded_at >= now - seconds
+        ]
 
     def observe_listing(self, ids: set[str], revision: int | None = None) -> None:
         """Remove all entries that are not in a listing.
@@ -366,7 +370,7 @@
         return self.clock.seconds() - self.last_leaving_at_by_service.get(service, float("-inf"))
 
     def _may_have_lapsed(self) -> bool:
-        return self.store_away or self._reregistration_time_left() > 0
+        return self.store_lost or self._reregistration_time_left() > 0
 
     def _reregistration_time_left(self) -> float:
         if self.store_recovered_at is None:
--- a/src/guavacleat/membership/status_poll.py
+++ b/src/guavacleat/membership/status_poll.py
@@ -89,7 +89,7 @@
 
     def _store_is_unreachable(self, reports: list) -> bool:
         """Whether no gateway reaches the store; a peer that does gossips its changes."""
-        if self.registry.store_away and all(report.store_away for report in reports):
+        if self.registry.store_lost and all(report.store_failing for report in reports):
             return True
         silence = store_silence(self.registry, self.peers)
         return silence > (STORE_SILENCE_SECONDS if reports else STORE_SILENCE_ALONE_SECONDS)
--- a/src/guavacleat/membership/view.py
+++ b/src/guavacleat/membership/view.py
@@ -4,10 +4,10 @@
 clocks need not be synchronised. A sidecar that stops renewing (crashed, paused, partitioned)
 expires within one lease period plus the watch delay.
 
-For a large service, a gateway uses a subset of ``SUBSET`` endpoints: the first live ones, ordered
-by a hash of the gateway's and the endpoint's names. This bounds the cost of a routing decision and
-spreads the endpoints evenly over the gateways; an endpoint that fails is replaced by the next one
-in the order.
+For a large service, a gateway uses a subset of ``SUBSET_SIZE`` endpoints: the first live ones,
+ordered by a hash of the gateway's and the endpoint's names. This bounds the cost of a routing
+decision and spreads the endpoints evenly over the gateways; an endpoint that fails is replaced by
+the next one in the order.
 """
 
 import hashlib
@@ -19,9 +19,9 @@
 from guavacleat.membership.lease import LEASE_SECONDS
 from guavacleat.membership.records import EndpointRecord
 
-__all__ = ["MembershipView", "SUBSET"]
+__all__ = ["MembershipView", "SUBSET_SIZE"]
 
-SUBSET = 64
+SUBSET_SIZE = 64
 
 
 class MembershipView:
@@ -78,7 +78,7 @@
             self.store_lost_at = None
             log_message(message_type="membership:store-back", outage=outage)
 
-    def instances_leaving(self, names: set[str]) -> None:
+    def set_leaving_instances(self, names: set[str]) -> None:
         """Set the instances that the platform lists as leaving.
 
         The list lags: it may still name an endpoint's previous instance, which must not affect the
@@ -101,7 +101,7 @@
         oldest = now - LEASE_SECONDS
         records = map(self.records_by_name.__getitem__, self._ordered(service))
         live = (record for record in records if self._takes_work(record, oldest))
-        return list(itertools.islice(live, SUBSET))
+        return list(itertools.islice(live, SUBSET_SIZE))
 
     def _ordered(self, service: str) -> list[str]:
         ordered = self.ordered_by_service.get(service)
--- a/src/guavacleat/orders/fencing.py
+++ b/src/guavacleat/orders/fencing.py
@@ -12,25 +12,25 @@
 
 from guavacleat.store import StoreClient
 
-__all__ = ["ORDER_KIND", "current_fencing", "issue_order"]
+__all__ = ["ORDER_KIND", "current_fencing_number", "issue_fencing_number"]
 
 ORDER_KIND = "orders"
 
 
 @defer.inlineCallbacks
-def current_fencing(store: StoreClient, endpoint: str):
+def current_fencing_number(store: StoreClient, endpoint: str):
     """Fire with the newest fencing number issued for ``endpoint`` (0 if none)."""
     stored = yield store.get(ORDER_KIND, endpoint)
     return stored.version if stored else 0
 
 
 @defer.inlineCallbacks
-def issue_order(store: StoreClient, endpoint: str):
+def issue_fencing_number(store: StoreClient, endpoint: str):
     """Obtain the next fencing number for ``endpoint``; fire with it.
 
     Raises ConflictError if another issuer obtained one at the same time (try again), and
     StoreUnavailableError if the store did not answer (the number may or may not have been issued).
     """
-    version = yield current_fencing(store, endpoint)
+    version = yield current_fencing_number(store, endpoint)
     stored = yield store.put(ORDER_KIND, endpoint, {"issued": version + 1}, version)
     return stored.version
--- a/src/guavacleat/orders/issue.py
+++ b/src/guavacleat/orders/send.py
@@ -5,7 +5,7 @@
 
 from guavacleat.errors import GuavacleatError, NotRunError
 from guavacleat.membership.records import ENDPOINT_KIND
-from guavacleat.orders.fencing import issue_order
+from guavacleat.orders.fencing import issue_fencing_number
 from guavacleat.protocol.gen.sidecar.ttypes import NotRun, Order, StaleOrder
 from guavacleat.store import StoreClient
 
@@ -40,7 +40,7 @@
             f"no sidecar has registered endpoint {endpoint!r}.",
             "look up the endpoint's name with `guavacleat ctl status`.",
         )
-    fencing = yield issue_order(store, endpoint)
+    fencing = yield issue_fencing_number(store, endpoint)
     try:
         client = yield pool.client(stored.value["address"])
         pending = client.order(Order(kind=kind, target=target, fencing=fencing))
--- a/src/guavacleat/peers/crashes.py
+++ b/src/guavacleat/peers/crashes.py
@@ -23,32 +23,35 @@
         self.tracker = tracker
 
     def build_message(
-        self, seconds: float, forwards: bool, everything: bool
+        self, seconds: float, include_remote: bool, include_quarantined: bool
     ) -> ttypes.Crashes | None:
         """Encode the recent observations; None if there are none.
 
         :param seconds: maximum age of the observations to include.
-        :param forwards: whether to include observations of other gateways.
-        :param everything: whether to include all crashes for which requests are quarantined,
-            regardless of their age.
+        :param include_remote: whether to include observations of other gateways.
+        :param include_quarantined: whether to include, regardless of their age, all crashes at
+            which quarantined requests were in flight; effective only with ``include_remote``.
         """
-        crashes = self.tracker.recent_crashes(seconds, local_only=not forwards)
-        if everything and forwards:
+        crashes = self.tracker.recent_crashes(seconds, local_only=not include_remote)
+        if include_quarantined and include_remote:
             crashes = list(dict.fromkeys([*self.tracker.quarantining_crashes(), *crashes]))
-        trials = [trial for trial in self.tracker.trials() if trial.own or forwards]
+        trials = [trial for trial in self.tracker.trials() if trial.own or include_remote]
         clearances = self.tracker.recent_clearances(seconds)[:MAX_CLEARANCES_PER_REPORT]
         if not (crashes or trials or clearances):
             return None
         return ttypes.Crashes(
             self._encode_crashes(crashes),
             [
-                ttypes.Trial(trial.fingerprint, trial.endpoint, self._age(trial.at))
+                ttypes.Trial(trial.fingerprint, trial.endpoint, self._age(trial.started_at))
                 for trial in trials
             ],
-            [ttypes.Clearance(known.fingerprint, self._age(known.at)) for known in clearances],
+            [
+                ttypes.Clearance(known.fingerprint, self._age(known.completed_at))
+                for known in clearances
+            ],
         )
 
-    def learn(self, message: ttypes.Crashes) -> None:
+    def apply_message(self, message: ttypes.Crashes) -> None:
         """Merge a peer's observations."""
         # Clearances first, so that a cleared request is not charged again.
         for clearance in message.clearances or ():
@@ -66,7 +69,7 @@
             fingerprints = self.tracker.most_suspected(crash)[:remaining]
             remaining -= len(fingerprints)
             if fingerprints:
-                age = self._age(crash.at)
+                age = self._age(crash.crashed_at)
                 encoded.append(
                     ttypes.EndpointEnd(crash.endpoint, age, fingerprints, crash.restored)
                 )
--- a/src/guavacleat/peers/exchange.py
+++ b/src/guavacleat/peers/exchange.py
@@ -75,7 +75,7 @@
     :param directory: this gateway's :class:`~.directory.GatewayDirectory`.
     :param configuration: a :class:`~.sync.ConfigurationSyncState`.
     :param endpoints: an :class:`~.sync.EndpointSyncState`.
-    :param crashes: this gateway's :class:`~guavacleat.quarantine.CrashTracker`.
+    :param crash_tracker: this gateway's :class:`~guavacleat.quarantine.CrashTracker`.
     :param on_report: called after each accepted report.
     """
 
@@ -88,7 +88,7 @@
         registry: EndpointRegistry,
         configuration: ConfigurationSyncState,
         endpoints: EndpointSyncState,
-        crashes: CrashTracker,
+        crash_tracker: CrashTracker,
         on_report=lambda: None,
     ):
         self.reactor = reactor
@@ -98,7 +98,7 @@
         self.registry = registry
         self.configuration = configuration
         self.endpoints = endpoints
-        self.crashes = CrashGossip(reactor, crashes)
+        self.crash_gossip = CrashGossip(reactor, crash_tracker)
         self.on_report = on_report
         self.summaries = SummaryExchange(
             reactor,
@@ -121,8 +121,8 @@
         self._heartbeat.clock = reactor
         load.listeners.append(self.on_load_change)
         registry.on_change = self._endpoint_changed
-        crashes.on_local_change = self._endpoint_changed
-        crashes.on_remote_change = self.summaries.endpoint_changed
+        crash_tracker.on_local_change = self._endpoint_changed
+        crash_tracker.on_remote_change = self.summaries.endpoint_changed
 
     def startProtocol(self):  # noqa: N802 - Twisted's name
         self._heartbeat.start(HEARTBEAT_SECONDS, now=False)
@@ -151,7 +151,7 @@
     def gateway_count(self) -> int:
         """Number of known gateways in all data centres, including this one."""
         reported_by_data_centre = {
-            report.data_centre: report.gateways for report in self.peer_table.summaries()
+            report.data_centre: report.gateway_count for report in self.peer_table.summaries()
         }
         listed_by_data_centre = {
             data_centre: len(addresses)
@@ -200,7 +200,7 @@
             self._schedule,
             self.summaries.is_forwarder(FORWARDERS),
             stops_in=self._stops_in(),
-            store_away=self.registry.store_unreachable(),
+            store_failing=self.registry.store_unreachable(),
             store_silence=self.registry.store_silence(),
         )
         self._send_local(encode_report(report))
@@ -210,7 +210,10 @@
         neighbours = self.peer_table.alive()
         stops = [self._stops_in(), *(report.stops_in for report in neighbours)]
         silences = [self.registry.store_silence(), *(report.store_silence for report in neighbours)]
-        away = [self.registry.store_unreachable(), *(report.store_away for report in neighbours)]
+        failing = [
+            self.registry.store_unreachable(),
+            *(report.store_failing for report in neighbours),
+        ]
         summary = self._build_report(
             sum_loads_by_endpoint(
                 [self.load.generation_loads(), *(report.loads_by_endpoint for report in neighbours)]
@@ -218,24 +221,27 @@
             self._summary_schedule,
             True,
             stops_in=None if None in stops else min(stops),
-            store_away=all(away),
+            store_failing=all(failing),
             store_silence=min(silences),
-            gateways=self._local_count(),
+            gateway_count=self._local_count(),
         )
         return encode_report(summary)
 
     def _build_report(
-        self, loads, schedule: _GossipSchedule, forwards: bool, **fields
+        self, loads, schedule: _GossipSchedule, include_remote: bool, **fields
     ) -> GatewayReport:
-        """Build a report; with ``forwards``, it includes other gateways' crash observations."""
+        """Build a report; ``include_remote``: with other gateways' crash observations."""
         should_send_full_report = schedule.should_send_full_report()
         change_seconds = (
             CHANGE_RETENTION_SECONDS if should_send_full_report else RECENT_CHANGE_SECONDS
         )
         crashes = None
-        if schedule.should_send_crashes(self.crashes.tracker.changed_at) or should_send_full_report:
-            crashes = self.crashes.build_message(
-                change_seconds, forwards, everything=should_send_full_report
+        if (
+            schedule.should_send_crashes(self.crash_gossip.tracker.changed_at)
+            or should_send_full_report
+        ):
+            crashes = self.crash_gossip.build_message(
+                change_seconds, include_remote, include_quarantined=should_send_full_report
             )
         self.sequence += 1
         return GatewayReport(
@@ -244,7 +250,7 @@
             self.sequence,
             loads,
             self.registry.recent_changes(change_seconds),
-            configuration=self.configuration.version(),
+            configuration_version=self.configuration.version(),
             configuration_age=self.configuration.age(),
             data_centre=self.directory.data_centre,
             endpoints_revision=self.endpoints.revision,
@@ -312,7 +318,7 @@
         for change in report.changes:
             self.registry.observe_peer_change(change, self.endpoints.revision)
         if report.crashes is not None:
-            self.crashes.learn(report.crashes)
+            self.crash_gossip.apply_message(report.crashes)
         self.endpoints.observe_report(report)
         self.configuration.observe_report(report)
         self.on_report()
--- a/src/guavacleat/peers/report.py
+++ b/src/guavacleat/peers/report.py
@@ -25,12 +25,12 @@
     :param sequence: increases with each report of an incarnation.
     :param changes: recent endpoint changes: all those after revision ``changes_since``.
     :param stops_in: maximum seconds until its process ends; None unless it is being stopped.
-    :param store_away: whether its store calls failed recently.
+    :param store_failing: whether its store calls failed recently.
     :param store_silence: seconds since the store last answered it.
-    :param configuration: version in force at the sender; None if there is none.
+    :param configuration_version: version in force at the sender; None if there is none.
     :param configuration_age: seconds since that was known to be the latest version.
     :param data_centre: the sender's data centre; None if unknown.
-    :param gateways: None in a gateway's own report; in a data centre's summary, the number of
+    :param gateway_count: None in a gateway's own report; in a data centre's summary, the number of
         gateways that it covers.
     :param endpoints_revision: the store's revision up to which the sender knows the endpoints;
         None if it does not know them.
@@ -46,12 +46,12 @@
         "loads_by_endpoint",
         "changes",
         "stops_in",
-        "store_away",
+        "store_failing",
         "store_silence",
-        "configuration",
+        "configuration_version",
         "configuration_age",
         "data_centre",
-        "gateways",
+        "gateway_count",
         "endpoints_revision",
         "endpoints_age",
         "changes_since",
@@ -66,12 +66,12 @@
         loads_by_endpoint: dict[str, EndpointLoad],
         changes: tuple[EndpointChange, ...] = (),
         stops_in: float | None = None,
-        store_away: bool = False,
+        store_failing: bool = False,
         store_silence: float = 0.0,
-        configuration: int | None = None,
+        configuration_version: int | None = None,
         configuration_age: float | None = None,
         data_centre: str | None = None,
-        gateways: int | None = None,
+        gateway_count: int | None = None,
         endpoints_revision: int | None = None,
         endpoints_age: float | None = None,
         changes_since: int | None = None,
@@ -83,12 +83,12 @@
         self.loads_by_endpoint = loads_by_endpoint
         self.changes = tuple(changes)
         self.stops_in = stops_in
-        self.store_away = store_away
+        self.store_failing = store_failing
         self.store_silence = store_silence
-        self.configuration = configuration
+        self.configuration_version = configuration_version
         self.configuration_age = configuration_age
         self.data_centre = data_centre
-        self.gateways = gateways
+        self.gateway_count = gateway_count
         self.endpoints_revision = endpoints_revision
         self.endpoints_age = endpoints_age
         self.changes_since = changes_since
@@ -96,7 +96,7 @@
 
     @property
     def is_summary(self) -> bool:
-        return self.gateways is not None
+        return self.gateway_count is not None
 
 
 def encode_report(report: GatewayReport) -> bytes:
@@ -113,12 +113,12 @@
         loads,
         [_encode_change(change, base_revision) for change in report.changes],
         report.stops_in,
-        report.store_away,
+        report.store_failing,
         report.store_silence,
-        _encodable_version(report.configuration),
+        _encodable_version(report.configuration_version),
         report.configuration_age,
         report.data_centre,
-        report.gateways,
+        report.gateway_count,
         _to_offset(base_revision, report.endpoints_revision),
         report.endpoints_age,
         _to_offset(base_revision, report.changes_since),
--- a/src/guavacleat/peers/sync.py
+++ b/src/guavacleat/peers/sync.py
@@ -46,7 +46,7 @@
 class WatcherSelection:
     """Whether this gateway is one of the watchers of the store.
 
-    :param data_centres: returns the number of data centres with gateways.
+    :param data_centre_count: returns the number of data centres with gateways.
     """
 
     def __init__(
@@ -55,20 +55,20 @@
         instance: str,
         peer_table: PeerTable,
         registry: EndpointRegistry,
-        data_centres,
+        data_centre_count,
     ):
         self.clock = clock
         self.startup_ends_at = clock.seconds() + STARTUP_SECONDS
         self.instance = instance
         self.peer_table = peer_table
         self.registry = registry
-        self.data_centres = data_centres
+        self.data_centre_count = data_centre_count
 
     def __call__(self) -> bool:
         if self.clock.seconds() < self.startup_ends_at:
             return False
         alive = self.peer_table.alive()
-        with_store_access = [report.instance for report in alive if not report.store_away]
+        with_store_access = [report.instance for report in alive if not report.store_failing]
         if not self.registry.store_unreachable():
             with_store_access.append(self.instance)
         # While no gateway reaches the store, the watchers keep retrying.
@@ -76,7 +76,7 @@
         return self.instance in select_members(members, "store", self._count())
 
     def _count(self) -> int:
-        return max(1, math.ceil(WATCHERS / max(1, self.data_centres())))
+        return max(1, math.ceil(WATCHERS / max(1, self.data_centre_count())))
 
 
 class _SyncState:
@@ -191,7 +191,7 @@
 
     def observe_report(self, report: GatewayReport) -> None:
         """Apply the version that a peer has in force."""
-        reported, own = report.configuration, self.version()
+        reported, own = report.configuration_version, self.version()
         if reported is None or own is None:
             return
         self.reported_version = (
--- a/src/guavacleat/peers/table.py
+++ b/src/guavacleat/peers/table.py
@@ -72,7 +72,7 @@
         """
         recent = map(self._recent, self.summaries_by_data_centre.values())
         return [
-            max(peers, key=lambda peer: (peer.report.gateways, peer.received_at)).report
+            max(peers, key=lambda peer: (peer.report.gateway_count, peer.received_at)).report
             for peers in recent
             if peers
         ]
@@ -88,9 +88,9 @@
             *(peers.values() for peers in self.summaries_by_data_centre.values()),
         )
 
-    def newest_configuration(self) -> int | None:
+    def newest_configuration_version(self) -> int | None:
         """The highest configuration version in force at a live peer; None if none reports one."""
-        versions = (report.configuration for report in [*self.alive(), *self.summaries()])
+        versions = (report.configuration_version for report in [*self.alive(), *self.summaries()])
         return max((version for version in versions if version is not None), default=None)
 
     def store_silence(self) -> float:
--- a/src/guavacleat/quarantine/messages.py
+++ b/src/guavacleat/quarantine/messages.py
@@ -9,7 +9,7 @@
     """One crash of an endpoint, and the requests that it interrupted.
 
     :param endpoint: the endpoint's id; one that restarts under the same id can crash repeatedly.
-    :param at: clock time of the crash.
+    :param crashed_at: clock time of the crash.
     :param fingerprints: the fingerprints of the requests in flight.
     :param confirmed: false while the endpoint may still turn out to be alive.
     :param restored: true if it was restored from the record in the store.
@@ -19,7 +19,7 @@
 
     __slots__ = (
         "endpoint",
-        "at",
+        "crashed_at",
         "fingerprints",
         "confirmed",
         "restored",
@@ -30,44 +30,44 @@
     def __init__(
         self,
         endpoint: str,
-        at: float,
+        crashed_at: float,
         fingerprints=(),
         confirmed: bool = True,
         restored: bool = False,
     ):
         self.endpoint = endpoint
-        self.at = at
+        self.crashed_at = crashed_at
         self.fingerprints: set[int] = set(fingerprints)
         self.confirmed = confirmed
         self.restored = restored
-        self.updated_at = at
+        self.updated_at = crashed_at
         self.observed_locally = False
 
 
 class Trial:
     """An isolated run of a suspected request, to see whether it crashes ``endpoint``.
 
-    :param at: clock time of the start.
+    :param started_at: clock time of the start.
     :param own: whether this gateway runs it.
     """
 
-    __slots__ = ("fingerprint", "endpoint", "at", "own")
+    __slots__ = ("fingerprint", "endpoint", "started_at", "own")
 
-    def __init__(self, fingerprint: int, endpoint: str, at: float, own: bool):
+    def __init__(self, fingerprint: int, endpoint: str, started_at: float, own: bool):
         self.fingerprint = fingerprint
         self.endpoint = endpoint
-        self.at = at
+        self.started_at = started_at
         self.own = own
 
 
 class Clearance:
-    """A request completed at clock time ``at``, which clears it of all earlier crashes."""
+    """The completion of a request, which clears it of all earlier crashes."""
 
-    __slots__ = ("fingerprint", "at", "updated_at")
+    __slots__ = ("fingerprint", "completed_at", "updated_at")
 
-    def __init__(self, fingerprint: int, at: float, updated_at: float):
+    def __init__(self, fingerprint: int, completed_at: float, updated_at: float):
         self.fingerprint = fingerprint
-        self.at = at
+        self.completed_at = completed_at
         self.updated_at = updated_at
 
 
--- a/src/guavacleat/quarantine/tracker.py
+++ b/src/guavacleat/quarantine/tracker.py
@@ -175,7 +175,7 @@
         """Merge a peer's report that a request completed ``age`` seconds ago."""
         at = self.clock.seconds() - age
         known = self.clearances_by_fingerprint.get(fingerprint)
-        if known is None or at > known.at + SAME_CRASH_SECONDS:
+        if known is None or at > known.completed_at + SAME_CRASH_SECONDS:
             self._clear(fingerprint, at)
             self._notify(self.on_remote_change)
 
@@ -285,7 +285,7 @@
             other
             for other in self.endpoint_crashes
             if not other.restored
-            and abs(other.at - crash.at) <= CORRELATION_WINDOW_SECONDS
+            and abs(other.crashed_at - crash.crashed_at) <= CORRELATION_WINDOW_SECONDS
             and fingerprint not in other.fingerprints
         )
         return (
@@ -297,12 +297,12 @@
         excess = int(count) - QUARANTINE_CRASHES
         if excess < 0:
             return float("-inf")
-        last = max(crash.at for crash in self.crashes_by_fingerprint[fingerprint])
+        last = max(crash.crashed_at for crash in self.crashes_by_fingerprint[fingerprint])
         return last + QUARANTINE_SECONDS[min(excess, len(QUARANTINE_SECONDS) - 1)]
 
     def _trial(self, fingerprint: int) -> Trial | None:
         trial = self.trials_by_fingerprint.get(fingerprint)
-        if trial is not None and self.clock.seconds() - trial.at >= TRIAL_TIMEOUT_SECONDS:
+        if trial is not None and self.clock.seconds() - trial.started_at >= TRIAL_TIMEOUT_SECONDS:
             del self.trials_by_fingerprint[fingerprint]
             return None
         return trial
@@ -316,8 +316,8 @@
                 crash
                 for crash in reversed(self.endpoint_crashes)
                 if crash.endpoint == endpoint
-                and (restored or abs(crash.at - at) <= SAME_CRASH_SECONDS)
-                and crash.at >= sent_at
+                and (restored or abs(crash.crashed_at - at) <= SAME_CRASH_SECONDS)
+                and crash.crashed_at >= sent_at
             ),
             None,
         )
@@ -334,14 +334,14 @@
         for crash in [
             crash
             for crash in self.endpoint_crashes
-            if crash.at < oldest and not self._format_suspects(crash)
+            if crash.crashed_at < oldest and not self._format_suspects(crash)
         ]:
             self._remove(crash)
         if len(self.endpoint_crashes) >= MAX_CRASHES:
             self._remove(
                 min(
                     self.endpoint_crashes,
-                    key=lambda crash: (bool(self._format_suspects(crash)), crash.at),
+                    key=lambda crash: (bool(self._format_suspects(crash)), crash.crashed_at),
                 )
             )
 
@@ -356,7 +356,9 @@
     def _add_fingerprint(self, crash: EndpointCrash, fingerprint: int) -> bool:
         """Add a request in flight at a crash; return whether it was added."""
         cleared = self.clearances_by_fingerprint.get(fingerprint)
-        if fingerprint in crash.fingerprints or (cleared is not None and crash.at <= cleared.at):
+        if fingerprint in crash.fingerprints or (
+            cleared is not None and crash.crashed_at <= cleared.completed_at
+        ):
             return False
         if len(crash.fingerprints) >= MAX_FINGERPRINTS_PER_CRASH:
             return False
@@ -375,24 +377,24 @@
                     message_type="quarantine:began",
                     fingerprint=format_fingerprint(fingerprint),
                     crashes=count,
-                    seconds=round(self._refused_until(fingerprint, count) - crash.at, 1),
+                    seconds=round(self._refused_until(fingerprint, count) - crash.crashed_at, 1),
                 )
                 self.on_quarantined(fingerprint)
         self._notify(self.on_local_change)
 
     def _end_trials(self, crash: EndpointCrash) -> None:
         for fingerprint in crash.fingerprints & self.trials_by_fingerprint.keys():
-            if self.trials_by_fingerprint[fingerprint].at <= crash.at:
+            if self.trials_by_fingerprint[fingerprint].started_at <= crash.crashed_at:
                 del self.trials_by_fingerprint[fingerprint]
 
     def _crashed_since(self, fingerprint: int, at: float) -> bool:
         crashes = self.crashes_by_fingerprint.get(fingerprint, ())
-        return any(crash.at >= at for crash in crashes)
+        return any(crash.crashed_at >= at for crash in crashes)
 
     def _clear(self, fingerprint: int, at: float) -> None:
         previous_count = len(self.crashes_by_fingerprint.get(fingerprint, ()))
         for crash in list(self.crashes_by_fingerprint.get(fingerprint, ())):
-            if crash.at <= at:
+            if crash.crashed_at <= at:
                 self._remove_fingerprint(crash, fingerprint)
         self.trials_by_fingerprint.pop(fingerprint, None)
         self.clearances_by_fingerprint.pop(fingerprint, None)
--- a/src/guavacleat/sidecar/handler.py
+++ b/src/guavacleat/sidecar/handler.py
@@ -4,7 +4,7 @@
 from twisted.internet.error import ConnectionRefusedError
 from zope.interface import implementer
 
-from guavacleat.orders import current_fencing
+from guavacleat.orders import current_fencing_number
 from guavacleat.protocol.gen.sidecar import Sidecar
 from guavacleat.protocol.gen.sidecar.ttypes import (
     CacheEvent,
@@ -181,7 +181,7 @@
     @defer.inlineCallbacks
     def _order(self, order):
         try:
-            newest = yield current_fencing(self.store, self.endpoint)
+            newest = yield current_fencing_number(self.store, self.endpoint)
         except StoreUnavailableError as exc:
             raise NotRun(
                 reason="the object API is unreachable, so the order's fencing cannot be checked",
--- a/src/guavacleat/sidecar/service.py
+++ b/src/guavacleat/sidecar/service.py
@@ -82,7 +82,7 @@
         self.port = self.reactor.listenTCP(port, factory, interface=host)
         self.record.address = f"{host}:{self.port.getHost().port}"
         self.lease = Lease(self.reactor, self.store, self.record, on_superseded=self._superseded)
-        for periodic in (self.lease.rounds, self.idle_sweep, self.engine_refresh):
+        for periodic in (self.lease.heartbeat, self.idle_sweep, self.engine_refresh):
             periodic.start()
         log_message(message_type="sidecar:started", endpoint=self.name, address=self.record.address)
 
@@ -107,7 +107,7 @@
         # connection. Closing earlier would lose that reply, and the outcome of a non-repeatable
         # call would be reported as unknown.
         yield task.deferLater(self.reactor, FLUSH_SECONDS)
-        for periodic in (self.lease.rounds, self.idle_sweep, self.engine_refresh):
+        for periodic in (self.lease.heartbeat, self.idle_sweep, self.engine_refresh):
             periodic.stop()
         yield self.port.stopListening()
         log_message(message_type="sidecar:stopped", endpoint=self.name)
--- a/src/guavacleat/store/client.py
+++ b/src/guavacleat/store/client.py
@@ -31,10 +31,10 @@
     WatchBatch,
 )
 
-__all__ = ["StoreClient", "WATCH_WAIT"]
+__all__ = ["StoreClient", "WATCH_WAIT_SECONDS"]
 
-CALL_TIMEOUT = 5.0  # seconds
-WATCH_WAIT = 10.0  # seconds
+CALL_TIMEOUT_SECONDS = 5.0
+WATCH_WAIT_SECONDS = 10.0
 HISTORY_LOST_STATUS = 410
 EXPECTED_STATUSES = (200, 201, 404, 409, HISTORY_LOST_STATUS)
 
@@ -50,7 +50,9 @@
     :ivar era_listeners: called with each new era, before the response that carried it is returned.
     """
 
-    def __init__(self, base_url: str, http=None, dialect=None, call_timeout: float = CALL_TIMEOUT):
+    def __init__(
+        self, base_url: str, http=None, dialect=None, call_timeout: float = CALL_TIMEOUT_SECONDS
+    ):
         self.base_url = base_url.rstrip("/")
         self.http = http or _treq_http()
         self.dialect = dialect or NativeDialect()
@@ -115,7 +117,11 @@
 
     @defer.inlineCallbacks
     def watch(
-        self, kind: str, since: int, wait: float = WATCH_WAIT, max_body_bytes: int | None = None
+        self,
+        kind: str,
+        since: int,
+        wait: float = WATCH_WAIT_SECONDS,
+        max_body_bytes: int | None = None,
     ):
         """Fire with a :class:`WatchBatch` of writes to ``kind`` after revision ``since``.
 
--- a/src/guavacleat/store/watch.py
+++ b/src/guavacleat/store/watch.py
@@ -12,7 +12,7 @@
 from twisted.internet import defer
 from twisted.internet.interfaces import IReactorTime
 
-from guavacleat.store.client import WATCH_WAIT, StoreClient
+from guavacleat.store.client import WATCH_WAIT_SECONDS, StoreClient
 from guavacleat.store.messages import (
     MAX_OBJECT_BYTES,
     ChangesTooLargeError,
@@ -21,13 +21,13 @@
     StoreUnavailableError,
 )
 
-__all__ = ["RECOVERY_WAIT", "WatchLoop"]
+__all__ = ["RECOVERY_WAIT_SECONDS", "WatchLoop"]
 
-BACKOFF_MIN = 0.2  # seconds
+BACKOFF_MIN_SECONDS = 0.2
 # Wait in seconds of a watch after a failure. It is short so that a call which the store never
 # answers times out soon after the store has recovered.
-RECOVERY_WAIT = 0.3
-BACKOFF_MAX = 5.0  # seconds
+RECOVERY_WAIT_SECONDS = 0.3
+BACKOFF_MAX_SECONDS = 5.0
 # Each watch waits for a random fraction, between this and 1, of its wait. A change answers the
 # watches of all gateways at once; without jitter they would all detect an outage equally late.
 MIN_WAIT_FRACTION = 0.6
@@ -60,7 +60,7 @@
         on_health=None,
         pause=lambda: 0.0,
         on_listed=None,
-        backoff_max: float = BACKOFF_MAX,
+        backoff_max: float = BACKOFF_MAX_SECONDS,
         newest_only: bool = False,
         on_revision=None,
         is_suspended=lambda: False,
@@ -69,7 +69,7 @@
         self.store = store
         self.kind = kind
         self.on_object = on_object
-        self.wait = WATCH_WAIT if wait is None else wait
+        self.wait = WATCH_WAIT_SECONDS if wait is None else wait
         self.on_health = on_health or (lambda healthy: None)
         self.pause = pause
         self.on_listed = on_listed or (lambda names: None)
@@ -158,7 +158,7 @@
                 error=str(error),
             )
         self.on_health(False)
-        self._schedule(min(self.backoff_max, BACKOFF_MIN * 2 ** min(self.failures, 8)))
+        self._schedule(min(self.backoff_max, BACKOFF_MIN_SECONDS * 2 ** min(self.failures, 8)))
 
     @defer.inlineCallbacks
     def _call_store(self):
@@ -169,7 +169,7 @@
             else:
                 wait = self.wait * self.random.uniform(MIN_WAIT_FRACTION, 1.0)
                 if self.failures:
-                    wait = min(self.wait, RECOVERY_WAIT)
+                    wait = min(self.wait, RECOVERY_WAIT_SECONDS)
                 batch = yield self.store.watch(self.kind, self.revision, wait, self.max_body_bytes)
         except HistoryLostError:
             self._relist("watch:history-lost")
--- a/src/guavacleat/streams/relay.py
+++ b/src/guavacleat/streams/relay.py
@@ -62,8 +62,8 @@
         self.pool = pool
         self.metrics = metrics
         self.resumes = 0
-        self.crashes = CrashTracker(clock)
-        self.quarantine = QuarantineGuard(clock, self.crashes, self._probe)
+        self.crash_tracker = CrashTracker(clock)
+        self.quarantine = QuarantineGuard(clock, self.crash_tracker, self._probe)
 
     @defer.inlineCallbacks
     def run(self, request: CompletionRequest, limits, sink, before_start=None):
--- a/tests/forwarding/harness.py
+++ b/tests/forwarding/harness.py
@@ -170,8 +170,10 @@
         self.registry = EndpointRegistry(clock)
         self.load = LoadTracker(clock)
         self.pool = FakePool()
-        self.crashes = CrashTracker(clock)
-        quarantine = QuarantineGuard(clock, self.crashes, EndpointProbe(self.pool, self.registry))
+        self.crash_tracker = CrashTracker(clock)
+        quarantine = QuarantineGuard(
+            clock, self.crash_tracker, EndpointProbe(self.pool, self.registry)
+        )
         placement = Placement(
             self.registry, self.load, "dc", seed=1, avoided_ids=quarantine.trial_endpoints
         )
--- a/tests/forwarding/test_quarantine.py
+++ b/tests/forwarding/test_quarantine.py
@@ -20,8 +20,8 @@
 def record_crashes(harness, request, crash_count):
     """Record that ``crash_count`` endpoints crashed while the request was running on them."""
     for number in range(crash_count):
-        harness.crashes.confirm(
-            harness.crashes.request_interrupted(f"gone-{number}", request.content_key)
+        harness.crash_tracker.confirm(
+            harness.crash_tracker.request_interrupted(f"gone-{number}", request.content_key)
         )
         harness.clock.advance(ISOLATION_SECONDS)
 
@@ -188,7 +188,7 @@
     harness = ForwardingHarness(clock, engine=None)
     request, _, _ = start_plain(harness, attempts=1)
     harness.pool.connections[0].break_connection(reason)
-    assert harness.crashes.crash_count(request.content_key) == 0
+    assert harness.crash_tracker.crash_count(request.content_key) == 0
 
 
 def test_announced_departure_is_not_counted_as_a_crash(clock):
@@ -199,4 +199,4 @@
     leaving = harness.registry.entries_by_id[connection.address[0]]
     harness.registry.observe_leaving(leaving)
     crash_endpoint(harness, connection)
-    assert harness.crashes.crash_count(request.content_key) == 0
+    assert harness.crash_tracker.crash_count(request.content_key) == 0
--- a/tests/gateway/test_config_machine.py
+++ b/tests/gateway/test_config_machine.py
@@ -21,7 +21,7 @@
 from guavacleat.config.holder import CONFIG_KIND, ConfigHolder
 from guavacleat.standin.store import StoreApp, StoreState
 from guavacleat.store import StoreClient
-from guavacleat.store.watch import BACKOFF_MAX, WatchLoop
+from guavacleat.store.watch import BACKOFF_MAX_SECONDS, WatchLoop
 from tests.conftest import examples
 
 NILE = json.loads(
@@ -30,7 +30,7 @@
     )
 )
 NAME = NILE["deployment"]
-WATCH_WAIT = 1.0
+WATCH_WAIT_SECONDS = 1.0
 
 
 class ConfigMachine(RuleBasedStateMachine):
@@ -43,7 +43,9 @@
         self.holder = ConfigHolder(NAME)
         self.in_force: list[int] = []
         self.history = []
-        self.watch = WatchLoop(self.clock, self.store, CONFIG_KIND, self._offer, wait=WATCH_WAIT)
+        self.watch = WatchLoop(
+            self.clock, self.store, CONFIG_KIND, self._offer, wait=WATCH_WAIT_SECONDS
+        )
         self.watch.start()
         self._advance(0)
 
@@ -95,7 +97,7 @@
     def teardown(self):
         self.store_app.faults.outage = False
         for _ in range(4):
-            self._advance(BACKOFF_MAX + WATCH_WAIT)
+            self._advance(BACKOFF_MAX_SECONDS + WATCH_WAIT_SECONDS)
         assert self.holder.version == self._stored_version(), "did not converge"
         self.watch.stop()
 
--- a/tests/ingress/test_dispatch.py
+++ b/tests/ingress/test_dispatch.py
@@ -66,12 +66,12 @@
 @pytest.mark.parametrize("path,key", [("/added/x", b"k1"), ("/keyed/x", b"added")])
 def test_unknown_route_or_key_is_retryable_if_a_peer_is_newer(dispatch, clock, path, key):
     """A gateway with an outdated configuration must not refuse a new route or key for good."""
-    dispatch.peers.observe(GatewayReport("g2", 1, 1, {}, configuration=2))
+    dispatch.peers.observe(GatewayReport("g2", 1, 1, {}, configuration_version=2))
     caller = send_request(dispatch, path, key)
     assert caller.head[0] == 503
     dispatch.holder.offer(table(version=2))
     assert send_request(dispatch, path, key).head[0] in (404, 401)
-    dispatch.peers.observe(GatewayReport("g2", 1, 2, {}, configuration=3))
+    dispatch.peers.observe(GatewayReport("g2", 1, 2, {}, configuration_version=3))
     clock.advance(60)
     assert send_request(dispatch, path, key).head[0] in (404, 401), "expired peer"
 
--- a/tests/membership/test_status_poll.py
+++ b/tests/membership/test_status_poll.py
@@ -78,14 +78,14 @@
             raise CallBrokenError("silent")
         return Answer(b"leaving" if address[0] in self.leaving else b"staying")
 
-    def receive_report(self, sequence, store_away, silence=0.0, loads=()):
+    def receive_report(self, sequence, store_failing, silence=0.0, loads=()):
         self.peers.observe(
             GatewayReport(
                 "g2",
                 1,
                 sequence,
                 {id: EndpointLoad(1, 3000) for id in loads},
-                store_away=store_away,
+                store_failing=store_failing,
                 store_silence=silence,
             )
         )
@@ -129,17 +129,17 @@
 
 def test_a_store_without_answers_is_detected_by_the_gateways_combined_silence(fleet):
     """Guards against waiting for the watch's timeout, which is longer than an engine's notice."""
-    fleet.receive_report(1, store_away=False, silence=0.5)
+    fleet.receive_report(1, store_failing=False, silence=0.5)
     pass_time(fleet, STORE_SILENCE_SECONDS - 0.2)
     assert fleet.polled == []
-    fleet.receive_report(2, store_away=False, silence=1.3)
+    fleet.receive_report(2, store_failing=False, silence=1.3)
     pass_time(fleet, 0.2 + POLL_INTERVAL_SECONDS)
     assert fleet.polled
 
 
 def test_an_answer_to_any_store_call_counts(fleet):
     """Guards against polls while only the endpoint watches wait and other calls are answered."""
-    fleet.receive_report(1, store_away=False, silence=5.0)
+    fleet.receive_report(1, store_failing=False, silence=5.0)
     for _ in range(30):
         fleet.registry.record_store_call(True)
         fleet.clock.advance(0.2)
@@ -166,18 +166,18 @@
 def test_no_engine_is_polled_while_a_peer_reaches_the_store(fleet):
     fleet.registry.record_store_health(False)
     for sequence in range(1, 20):
-        fleet.receive_report(sequence, store_away=False)
+        fleet.receive_report(sequence, store_failing=False)
         pass_time(fleet, 0.2)
     assert fleet.polled == []
 
 
 def test_each_engine_is_polled_by_one_gateway(fleet):
     fleet.registry.record_store_health(False)
-    fleet.receive_report(1, store_away=True, loads=ENGINES)
+    fleet.receive_report(1, store_failing=True, loads=ENGINES)
     pass_time(fleet, 2 * POLL_INTERVAL_SECONDS)
     mine = set(fleet.polled)
     fleet.poller.instance = "g2"
-    fleet.receive_report(2, store_away=True)
+    fleet.receive_report(2, store_failing=True)
     fleet.peers.peers_by_instance["g1"] = fleet.peers.peers_by_instance.pop("g2")
     fleet.peers.peers_by_instance["g1"].report.instance = "g1"
     fleet.polled.clear()
--- a/tests/membership/test_view.py
+++ b/tests/membership/test_view.py
@@ -5,7 +5,7 @@
 from guavacleat.membership import MembershipView
 from guavacleat.membership.instances import InstancePoller
 from guavacleat.membership.lease import LEASE_SECONDS
-from guavacleat.membership.view import SUBSET
+from guavacleat.membership.view import SUBSET_SIZE
 from tests.conftest import result_of
 
 
@@ -75,7 +75,7 @@
     The list lags: it still names instance i-1 after i-2 has taken the endpoint over.
     """
     view = MembershipView(clock)
-    poll = InstancePoller(clock, store, view.instances_leaving)
+    poll = InstancePoller(clock, store, view.set_leaving_instances)
     view.observe(dict(record("keur-llm-1"), instance="i-1"))
     store_app.instances.change("i-1", "leaving")
     clock.advance(store_app.instances.lag)
@@ -97,9 +97,9 @@
         for name in names:
             view.observe(record(name))
         uses.update(r.name for r in view.live("keur-llm"))
-    assert sum(uses.values()) == 40 * SUBSET and set(uses) == set(names)
-    assert max(uses.values()) <= 3 * 40 * SUBSET / 400
+    assert sum(uses.values()) == 40 * SUBSET_SIZE and set(uses) == set(names)
+    assert max(uses.values()) <= 3 * 40 * SUBSET_SIZE / 400
     before = [r.name for r in view.live("keur-llm")]
     view.observe(record(before[0], draining=True))
     after = [r.name for r in view.live("keur-llm")]
-    assert len(after) == SUBSET and set(before) - set(after) == {before[0]}
+    assert len(after) == SUBSET_SIZE and set(before) - set(after) == {before[0]}
--- a/tests/orders/test_fencing.py
+++ b/tests/orders/test_fencing.py
@@ -4,8 +4,8 @@
 from twisted.internet import defer
 from twisted.internet.error import ConnectError
 
-from guavacleat.orders import issue_order
-from guavacleat.orders.issue import (
+from guavacleat.orders import issue_fencing_number
+from guavacleat.orders.send import (
     ORDER_TIMEOUT_SECONDS,
     OrderLostError,
     OrderRefusedError,
@@ -46,8 +46,8 @@
     """
     engine = Engine(clock, EngineSettings(fencing=mode))
     handler = SidecarHandler("e1", EngineAdapter(engine), store, clock)
-    older = result_of(issue_order(store, "e1"), stub_http.flush)
-    newer = result_of(issue_order(store, "e1"), stub_http.flush)
+    older = result_of(issue_fencing_number(store, "e1"), stub_http.flush)
+    newer = result_of(issue_fencing_number(store, "e1"), stub_http.flush)
     result_of(handler.order(Order("model", "v2", newer)), stub_http.flush)
     with pytest.raises(StaleOrder):
         result_of(handler.order(Order("model", "v1", older)), stub_http.flush)
@@ -57,7 +57,7 @@
 def test_store_unreachable_refuses_order_as_not_run(clock, store, store_app, stub_http):
     engine = Engine(clock, EngineSettings(fencing="ignore"))
     handler = SidecarHandler("e1", EngineAdapter(engine), store, clock)
-    fencing = result_of(issue_order(store, "e1"), stub_http.flush)
+    fencing = result_of(issue_fencing_number(store, "e1"), stub_http.flush)
     store_app.faults.outage = True
     with pytest.raises(NotRun):
         result_of(handler.order(Order("model", "v1", fencing)), stub_http.flush)
@@ -71,12 +71,12 @@
     """
     engine = Engine(clock, EngineSettings(fencing="ignore"))
     handler = SidecarHandler("e1", EngineAdapter(engine), store, clock)
-    first = result_of(issue_order(store, "e1"), stub_http.flush)
+    first = result_of(issue_fencing_number(store, "e1"), stub_http.flush)
     store_app.faults.delay = 2.0
     slow = handler.order(Order("model", "v1", first))
     stub_http.flush()
     store_app.faults.delay = 0.0
-    second = result_of(issue_order(store, "e1"), stub_http.flush)
+    second = result_of(issue_fencing_number(store, "e1"), stub_http.flush)
     newer = handler.order(Order("model", "v2", second))
     stub_http.flush()
     clock.advance(2.0)
--- a/tests/orders/test_orders_machine.py
+++ b/tests/orders/test_orders_machine.py
@@ -13,7 +13,7 @@
 from twisted.internet.task import Clock
 
 from guavacleat.checks import check_versions
-from guavacleat.orders import issue_order
+from guavacleat.orders import issue_fencing_number
 from guavacleat.protocol.gen.sidecar.ttypes import Order
 from guavacleat.sidecar.handler import SidecarHandler
 from guavacleat.standin.store import StoreApp, StoreState
@@ -46,7 +46,7 @@
     def issuer_obtains_a_number(self, fault):
         if fault:
             setattr(self.store_app.faults, fault, 1)
-        issue_order(self.store, "e1").addCallbacks(self.issued.append, lambda _: None)
+        issue_fencing_number(self.store, "e1").addCallbacks(self.issued.append, lambda _: None)
         self.http.flush()
         self.store_app.faults.outage = self.store_app.faults.lose_acks = 0
 
--- a/tests/peers/fleet.py
+++ b/tests/peers/fleet.py
@@ -29,7 +29,7 @@
 STEP_SECONDS = 0.05
 CONFIG, ENDPOINTS = PlatformAdapter.config_kind, PlatformAdapter.endpoint_kind
 # Timeout of a call that the store does not answer, in addition to a watch's wait.
-CALL_SECONDS = 0.8
+CALL_TIMEOUT_SECONDS = 0.8
 
 
 class SharedStore:
@@ -92,7 +92,7 @@
         if self.state == "open":
             return None
         failed = defer.Deferred()
-        delay = 0.0 if self.state == "refused" else wait + CALL_SECONDS
+        delay = 0.0 if self.state == "refused" else wait + CALL_TIMEOUT_SECONDS
         self.store.clock.callLater(delay, failed.errback, StoreUnavailableError(self.state))
         return failed
 
@@ -139,7 +139,7 @@
                 answer.callback(batch)
             else:
                 error = StoreUnavailableError("the answer was lost")
-                self.store.clock.callLater(CALL_SECONDS, answer.errback, error)
+                self.store.clock.callLater(CALL_TIMEOUT_SECONDS, answer.errback, error)
 
         self.store.clock.callLater(wait, over)
         changed.addCallback(deliver)
@@ -161,7 +161,7 @@
         self.registry = EndpointRegistry(self.clock, lambda entry: self.left_ids.append(entry.id))
         self.load = LoadTracker(self.clock)
         self.peers = PeerTable(self.clock)
-        self.crashes = CrashTracker(self.clock)
+        self.crash_tracker = CrashTracker(self.clock)
         self.load.peers = self.peers
         self.source = StoreSource(self, settings, fleet)
         self.link = self.source.store = fleet.connect()
@@ -199,7 +199,7 @@
 class Fleet:
     """Gateways by instance; also serves as the platform adapter of their sources.
 
-    :ivar cuts: pairs (sender, receiver) of instances between which datagrams are dropped.
+    :ivar blocked_links: pairs (sender, receiver) of instances between which datagrams are dropped.
     """
 
     config_kind, config_name, endpoint_kind = CONFIG, "main", ENDPOINTS
@@ -212,7 +212,7 @@
         random.seed(seed)
         self.clock = Clock()
         self.store = self.make_store()
-        self.cuts = set()
+        self.blocked_links = set()
         self.drops_datagram = drops_datagram
         self.gateways = {}
         self.remote_bytes = 0
@@ -241,7 +241,7 @@
             return
         if sender.data_centre != receiver.data_centre:
             self.remote_bytes += len(data)
-        if (sender.instance, receiver.instance) in self.cuts or self.drops_datagram():
+        if (sender.instance, receiver.instance) in self.blocked_links or self.drops_datagram():
             return
         self.clock.callLater(0.001, self._arrive, receiver, data, (sender.ip, sender.port))
 
--- a/tests/peers/test_peers.py
+++ b/tests/peers/test_peers.py
@@ -48,11 +48,11 @@
     assert decode_report(encode_report(report)).stops_in == stops_in
 
 
-@pytest.mark.parametrize("away, silence", [(False, 0.2), (True, 4.5)])
-def test_store_reachability_is_encoded_and_decoded(away, silence):
-    sent = GatewayReport("g1", 1, 1, {}, store_away=away, store_silence=silence)
+@pytest.mark.parametrize("failing, silence", [(False, 0.2), (True, 4.5)])
+def test_store_reachability_is_encoded_and_decoded(failing, silence):
+    sent = GatewayReport("g1", 1, 1, {}, store_failing=failing, store_silence=silence)
     report = decode_report(encode_report(sent))
-    assert (report.store_away, report.store_silence) == (away, silence)
+    assert (report.store_failing, report.store_silence) == (failing, silence)
 
 
 @pytest.mark.parametrize("started_ms", [None, 1778085760007])
@@ -131,8 +131,8 @@
     "version,told", [(7, 7), (None, None), ((1 << 63) - 1, (1 << 63) - 1), (1 << 63, None)]
 )
 def test_a_report_contains_any_configuration_version_that_fits(version, told):
-    sent = GatewayReport("g1", 1, 1, {}, configuration=version)
-    assert decode_report(encode_report(sent)).configuration == told
+    sent = GatewayReport("g1", 1, 1, {}, configuration_version=version)
+    assert decode_report(encode_report(sent)).configuration_version == told
 
 
 def make_exchange(clock, store):
@@ -192,18 +192,20 @@
     assert store.written == []
 
 
-def summary(instance, sequence=1, gateways=3, expected=100):
+def summary(instance, sequence=1, gateway_count=3, expected=100):
     load = EndpointLoad(1, expected, 0)
-    return GatewayReport(instance, 1, sequence, {"e1": load}, data_centre="dc2", gateways=gateways)
+    return GatewayReport(
+        instance, 1, sequence, {"e1": load}, data_centre="dc2", gateway_count=gateway_count
+    )
 
 
 def test_only_the_summary_of_most_gateways_counts_per_data_centre(peer_table, clock):
     """Guards against adding up the summaries of both forwarders, or using the less complete one."""
-    peer_table.observe(summary("f1", gateways=3, expected=100))
-    peer_table.observe(summary("f2", gateways=2, expected=60))
+    peer_table.observe(summary("f1", gateway_count=3, expected=100))
+    peer_table.observe(summary("f2", gateway_count=2, expected=60))
     assert peer_table.total("e1").peak_tokens == 100
     clock.advance(PEER_TIMEOUT_SECONDS - 0.1)
-    peer_table.observe(summary("f2", sequence=2, gateways=2, expected=70))
+    peer_table.observe(summary("f2", sequence=2, gateway_count=2, expected=70))
     clock.advance(0.2)
     assert peer_table.total("e1").peak_tokens == 70, "the first forwarder has timed out"
 
@@ -315,7 +317,7 @@
         loads,
         changes,
         data_centre="heliopolis",
-        gateways=57,
+        gateway_count=57,
         endpoints_revision=10**6,
     )
     assert len(encode_report(large_summary)) <= DATAGRAM_BYTES
@@ -324,7 +326,7 @@
 def test_crashes_are_reported_at_once_but_not_in_each_load_report(clock):
     """Guards against reports that repeat the crashes of a whole rack many times a second."""
     peer_exchange, load = make_exchange(clock, FakeStore())
-    tracker = peer_exchange.crashes.tracker
+    tracker = peer_exchange.crash_gossip.tracker
     for number in range(100):
         tracker.confirm(tracker.request_interrupted(f"e{number}", number))
     clock.advance(0.02)
@@ -340,7 +342,7 @@
 
 def test_the_size_of_reported_crashes_is_bounded(clock):
     peer_exchange, _ = make_exchange(clock, FakeStore())
-    tracker = peer_exchange.crashes.tracker
+    tracker = peer_exchange.crash_gossip.tracker
     for endpoint in range(200):
         for request in range(40):
             end = tracker.request_interrupted(f"i-{endpoint:08}", 1000 * endpoint + request)
--- a/tests/peers/test_sync.py
+++ b/tests/peers/test_sync.py
@@ -118,7 +118,7 @@
 
 def test_a_gateway_without_peers_watches_the_store(fleet):
     isolated = fleet.gateways["g1-3"]
-    fleet.cuts |= {(other, isolated.instance) for other in fleet.gateways}
+    fleet.blocked_links |= {(other, isolated.instance) for other in fleet.gateways}
     fleet.pass_time(SETTLE_SECONDS)
     fleet.configure(2)
     fleet.set_endpoint("e3", "draining")
@@ -129,7 +129,7 @@
 def test_a_partitioned_data_centre_watches_the_store(fleet):
     inside = [gateway for gateway in fleet.gateways.values() if gateway.data_centre == "dc0"]
     outside = [gateway for gateway in fleet.gateways.values() if gateway.data_centre != "dc0"]
-    fleet.cuts |= {(far.instance, near.instance) for far in outside for near in inside}
+    fleet.blocked_links |= {(far.instance, near.instance) for far in outside for near in inside}
     fleet.set_endpoint("e4", "draining")
     fleet.pass_time(NOTICE_SECONDS)
     assert all("e4" in gateway.left_ids for gateway in fleet.gateways.values())
--- a/tests/peers/test_sync_machine.py
+++ b/tests/peers/test_sync_machine.py
@@ -63,7 +63,7 @@
 
     @rule(receivers=st.sets(st.sampled_from(GATEWAYS), max_size=3))
     def peers_are_partitioned(self, receivers):
-        self.fleet.cuts = {(sender, name) for sender in GATEWAYS for name in receivers}
+        self.fleet.blocked_links = {(sender, name) for sender in GATEWAYS for name in receivers}
 
     @rule(name=st.sampled_from(GATEWAYS))
     def gateway_restarts(self, name):
--- a/tests/platform/test_store.py
+++ b/tests/platform/test_store.py
@@ -7,9 +7,14 @@
 
 from guavacleat.platform.objects import PlatformDialect
 from guavacleat.store import ConflictError, StoreClient, StoreUnavailableError
-from guavacleat.store.client import CALL_TIMEOUT, WATCH_WAIT
+from guavacleat.store.client import CALL_TIMEOUT_SECONDS, WATCH_WAIT_SECONDS
 from guavacleat.store.messages import MUST_NOT_EXIST
-from guavacleat.store.watch import BACKOFF_MAX, MIN_WAIT_FRACTION, RECOVERY_WAIT, WatchLoop
+from guavacleat.store.watch import (
+    BACKOFF_MAX_SECONDS,
+    MIN_WAIT_FRACTION,
+    RECOVERY_WAIT_SECONDS,
+    WatchLoop,
+)
 from tests.conftest import result_of
 from tests.platform.store_standin import PAGE, StoreStandin
 
@@ -79,7 +84,7 @@
 
 
 def test_a_slow_store_is_waited_for_as_long_as_a_call_may_take(client, standin, clock):
-    standin.fault, standin.delay = "slow", 0.9 * CALL_TIMEOUT
+    standin.fault, standin.delay = "slow", 0.9 * CALL_TIMEOUT_SECONDS
     written = client.put("gateways", "g1", {"a": 1}, MUST_NOT_EXIST)
     clock.advance(standin.delay)
     assert result_of(written).value == {"a": 1}
@@ -91,9 +96,9 @@
     Sequence: the store does a write and answers after the caller has given up.
     Cause: no answer says nothing of whether the write was done; the next one must be conditional.
     """
-    standin.fault, standin.delay = "slow", 2 * CALL_TIMEOUT
+    standin.fault, standin.delay = "slow", 2 * CALL_TIMEOUT_SECONDS
     written = client.put("gateways", "g1", {"a": 1}, MUST_NOT_EXIST)
-    clock.advance(2 * CALL_TIMEOUT)
+    clock.advance(2 * CALL_TIMEOUT_SECONDS)
     with pytest.raises(StoreUnavailableError):
         result_of(written)
     standin.fault = None
@@ -102,7 +107,7 @@
 
 
 def test_the_loop_follows_a_slow_store(client, standin, clock):
-    standin.fault, standin.delay = "slow", 0.5 * CALL_TIMEOUT
+    standin.fault, standin.delay = "slow", 0.5 * CALL_TIMEOUT_SECONDS
     standin.write("servers", "e1", {"state": "ready"})
     follower = Follower(clock, client)
     for _ in range(4):
@@ -142,7 +147,7 @@
     standin.request = every_other_refused
     follower = Follower(clock, client)
     for _ in range(10):
-        clock.advance(BACKOFF_MAX)
+        clock.advance(BACKOFF_MAX_SECONDS)
     assert sorted(follower.names) == names
     assert follower.listings == [set(names)]
 
@@ -234,12 +239,14 @@
     standin.fault = None
     clock.advance(1)
     waits = [int(url.rpartition("waitMs=")[2]) for _, url in standin.calls if "waitMs=" in url]
-    assert MIN_WAIT_FRACTION * WATCH_WAIT * 1000 - 1 <= waits[0] <= WATCH_WAIT * 1000
-    assert waits[1] == RECOVERY_WAIT * 1000
+    assert (
+        MIN_WAIT_FRACTION * WATCH_WAIT_SECONDS * 1000 - 1 <= waits[0] <= WATCH_WAIT_SECONDS * 1000
+    )
+    assert waits[1] == RECOVERY_WAIT_SECONDS * 1000
     standin.write("servers", "e2", {})
     clock.advance(0)
     last = int(standin.calls[-1][1].rpartition("waitMs=")[2])
-    assert MIN_WAIT_FRACTION * WATCH_WAIT * 1000 - 1 <= last <= WATCH_WAIT * 1000
+    assert MIN_WAIT_FRACTION * WATCH_WAIT_SECONDS * 1000 - 1 <= last <= WATCH_WAIT_SECONDS * 1000
 
 
 def test_an_answer_of_an_unknown_shape_does_not_end_the_loop(client, standin, clock):
@@ -324,4 +331,4 @@
         clock.advance(0)
     waits = [int(url.rpartition("waitMs=")[2]) for _, url in standin.calls if "waitMs=" in url]
     assert len(set(waits)) > 10
-    assert min(waits) >= MIN_WAIT_FRACTION * WATCH_WAIT * 1000 - 1
+    assert min(waits) >= MIN_WAIT_FRACTION * WATCH_WAIT_SECONDS * 1000 - 1
--- a/tests/quarantine/test_crashing_requests.py
+++ b/tests/quarantine/test_crashing_requests.py
@@ -58,7 +58,7 @@
     fleet.network.pass_time(1.0)
     fleet.store_links["g1"].set_state("silent")
     fleet.network.pass_time(4.0)
-    assert fleet.gateways["g1"].crashes.quarantined_fingerprints()
+    assert fleet.gateways["g1"].crash_tracker.quarantined_fingerprints()
     assert fleet.crashes <= before + 1
 
 
@@ -74,10 +74,10 @@
     for _ in range(3):
         fleet.send_crasher("listing", gateway="g0")
         fleet.network.pass_time(2.0)
-    assert not fleet.gateways["g3"].crashes.quarantined_fingerprints()
+    assert not fleet.gateways["g3"].crash_tracker.quarantined_fingerprints()
     fleet.network.blocked_links = set()
     fleet.network.pass_time(4.0)
-    assert fleet.gateways["g3"].crashes.quarantined_fingerprints()
+    assert fleet.gateways["g3"].crash_tracker.quarantined_fingerprints()
 
 
 def test_a_refused_request_is_answered_at_once_with_retry_after():
@@ -101,7 +101,9 @@
             endpoint.crash()
         fleet.network.pass_time(2.0)
     recorded = [
-        known for gateway in fleet.gateways.values() for known in gateway.crashes.endpoint_crashes
+        known
+        for gateway in fleet.gateways.values()
+        for known in gateway.crash_tracker.endpoint_crashes
     ]
     assert len(recorded) >= rounds
 
--- a/tests/quarantine/test_tracker.py
+++ b/tests/quarantine/test_tracker.py
@@ -71,7 +71,7 @@
     """Guards against outdated reports that make a cleared request suspected again."""
     crash_in_turn(tracker, clock, 3, HARMLESS)
     reported = [
-        (endpoint_crash.endpoint, clock.seconds() - endpoint_crash.at)
+        (endpoint_crash.endpoint, clock.seconds() - endpoint_crash.crashed_at)
         for endpoint_crash in tracker.endpoint_crashes
     ]
     tracker.request_completed(HARMLESS)
--- a/tests/quarantine/test_tracker_machine.py
+++ b/tests/quarantine/test_tracker_machine.py
@@ -91,15 +91,15 @@
     def time_passes(self, seconds):
         self.clock.advance(seconds)
 
-    @rule(sender=st.integers(0, GATEWAYS - 1), everything=st.booleans())
-    def gateway_reports(self, sender, everything):
-        message = self.gossip[sender].build_message(15.0, True, everything)
+    @rule(sender=st.integers(0, GATEWAYS - 1), include_quarantined=st.booleans())
+    def gateway_reports(self, sender, include_quarantined):
+        message = self.gossip[sender].build_message(15.0, True, include_quarantined)
         if message is None:
             return
         assert sum(len(crash.fingerprints) for crash in message.ends) <= MAX_FINGERPRINTS_PER_REPORT
         for number, gossip in enumerate(self.gossip):
             if number != sender:
-                gossip.learn(message)
+                gossip.apply_message(message)
 
     @rule()
     def all_gateways_report(self):
--- a/tests/restore/fleet.py
+++ b/tests/restore/fleet.py
@@ -14,7 +14,7 @@
 
 __all__ = ["RestoredFleet"]
 
-CALL_SECONDS = 0.8
+CALL_TIMEOUT_SECONDS = 0.8
 
 
 class StoreConnection:
--- a/tests/restore/test_records.py
+++ b/tests/restore/test_records.py
@@ -7,7 +7,7 @@
 from guavacleat.errors import NotRunError
 from guavacleat.idempotency import AlreadyAcceptedError, CallRecords
 from guavacleat.membership import MembershipView
-from guavacleat.orders import current_fencing, issue_order
+from guavacleat.orders import current_fencing_number, issue_fencing_number
 from guavacleat.store import StoreClient
 from tests.conftest import endpoint_record, result_of
 from tests.e2e.processes import NILE
@@ -72,11 +72,11 @@
 def test_no_fencing_number_is_issued_twice(store, store_app, stub_http):
     """Guards against two orders with one fencing number: the engine may apply the older one."""
     store_app.state.copy()
-    issued = [result_of(issue_order(store, "e1"), stub_http.flush) for _ in range(3)]
+    issued = [result_of(issue_fencing_number(store, "e1"), stub_http.flush) for _ in range(3)]
     store_app.state.restore()
-    issued += [result_of(issue_order(store, "e1"), stub_http.flush) for _ in range(3)]
+    issued += [result_of(issue_fencing_number(store, "e1"), stub_http.flush) for _ in range(3)]
     assert issued == sorted(set(issued))
-    assert result_of(current_fencing(store, "e1"), stub_http.flush) == issued[-1]
+    assert result_of(current_fencing_number(store, "e1"), stub_http.flush) == issued[-1]
 
 
 def test_an_accepted_configuration_is_replaced_only_by_a_newer_one(store, store_app, stub_http):
--- a/tests/store/test_stalled_answer.py
+++ b/tests/store/test_stalled_answer.py
@@ -7,7 +7,7 @@
 
 from guavacleat.platform.objects import PlatformDialect
 from guavacleat.store import StoreClient, StoreUnavailableError
-from guavacleat.store.client import CALL_TIMEOUT
+from guavacleat.store.client import CALL_TIMEOUT_SECONDS
 from guavacleat.treq_http import TreqHttp
 from tests.conftest import result_of
 from tests.ingress.slow_link import LinkReactor
@@ -43,7 +43,7 @@
     """Guards against a call that times out while a large response is still arriving."""
     link.store.write("config", "main", LARGE)
     found = client.get("config", "main")
-    link.run(CALL_TIMEOUT + 1)
+    link.run(CALL_TIMEOUT_SECONDS + 1)
     assert result_of(found).value == LARGE
 
 
@@ -55,6 +55,6 @@
     link.store.write("config", "main", LARGE)
     link.stall_after_bytes = 100_000
     found = client.get("config", "main")
-    link.run(2 * CALL_TIMEOUT)
+    link.run(2 * CALL_TIMEOUT_SECONDS)
     with pytest.raises(StoreUnavailableError, match="99[0-9]{3} bytes"):
         result_of(found)
