--- a/src/guavacleat/commands/report.py
+++ b/src/guavacleat/commands/report.py
@@ -1,8 +1,8 @@
-"""``guavacleat report [FILE...]``: where a run lost what its callers asked for, and why.
+"""``guavacleat report [FILE...]``: a run's lost worth by cause.
 
 Reads logs of the gateways (as ``guavacleat explain`` does) and prints the requests by route and
-result, the worth missing by cause (shares that add up to all that is owed), and each engine's
-history. With --plot it saves both over time as a picture.
+result, the lost worth by route and cause as shares of the total, and each engine's history.
+--plot saves lost worth and engines' memory over time.
 """
 
 import sys
@@ -16,10 +16,10 @@
 
 FLAGS = flags.FLAGS
 flags.DEFINE_multi_string(
-    "worth", [], "ROUTE=ON_TIME[:LATE], what an answer of a route is worth; 1:0 if not given."
+    "worth", [], "ROUTE=ON_TIME[:LATE], worth of a route's response; default 1:0."
 )
-flags.DEFINE_string("plot", None, "Picture (PNG) to save.")
-flags.DEFINE_float("span", 2.0, "Seconds of arrivals that the picture adds up.", lower_bound=0.1)
+flags.DEFINE_string("plot", None, "File to save the plot to (PNG).")
+flags.DEFINE_float("span", 2.0, "Seconds of arrivals per bar of the plot.", lower_bound=0.1)
 
 
 def main(argv):
@@ -28,12 +28,12 @@
     except UnreadableLogError as exc:
         sys.exit(f"guavacleat report: {exc}")
     if not index.by_request:
-        sys.exit("guavacleat report: no line tells of a request; give the logs of the gateways.")
+        sys.exit("guavacleat report: no log line has a request id; give the logs of the gateways.")
     ledger = make_ledger(index, dict(map(_parse_worth, FLAGS.worth)))
     histories = engine_histories(index)
     print(route_table(ledger), loss_table(ledger), engine_table(histories), sep="\n\n")
     if FLAGS.plot:
-        # Imported here only: the plotting library takes a second to load.
+        # Imported lazily: the plotting library is slow to load.
         from guavacleat.report.plots import save_plots
 
         save_plots(ledger, histories, FLAGS.plot, FLAGS.span)
--- a/src/guavacleat/explain/__init__.py
+++ b/src/guavacleat/explain/__init__.py
@@ -1,17 +1,17 @@
-"""What happened to one request, and why, from the logs of many processes."""
+"""Reconstructs one request's timeline, and the cause of its outcome, from many processes' logs."""
 
 from guavacleat.explain.causes import Cause, CauseKind, classify, find_cause
 from guavacleat.explain.lines import LogLine, read_lines
-from guavacleat.explain.story import LogIndex, Story, tell
+from guavacleat.explain.timeline import LogIndex, RequestTimeline, build_timeline
 
 __all__ = [
     "Cause",
     "CauseKind",
     "LogIndex",
     "LogLine",
-    "Story",
+    "RequestTimeline",
     "classify",
     "find_cause",
     "read_lines",
-    "tell",
+    "build_timeline",
 ]
--- a/src/guavacleat/explain/causes.py
+++ b/src/guavacleat/explain/causes.py
@@ -1,43 +1,43 @@
-"""Naming the cause of a request's end: its kind, to be counted, and one sentence to read.
+"""Classifies the cause of a request's outcome: a kind for statistics and a sentence for people.
 
-Each finder looks at one kind of end and returns a :class:`Cause`, or None if it is another kind.
-The first that knows wins; :func:`classify` goes through :data:`FINDERS`.
+Each finder recognizes one group of outcomes and returns a :class:`Cause`, or None.
+:func:`classify` tries :data:`FINDERS` in order; the first match wins.
 """
 
 import enum
 
-from guavacleat.explain.story import Story
+from guavacleat.explain.timeline import RequestTimeline
 
 __all__ = ["FINDERS", "Cause", "CauseKind", "classify", "find_cause"]
 
 
 class CauseKind(enum.Enum):
-    """What decided how a request ended; the values head the report's columns."""
+    """What determined a request's outcome; the report prints the values."""
 
     ON_TIME = "on time"
-    LATE_WAITED = "waited for room"
-    LATE_FIRST = "first event late"
-    LATE_MOVED = "pause of a move"
+    LATE_QUEUED = "waited for room"
+    LATE_FIRST_EVENT = "first event late"
+    LATE_MIGRATION = "pause of a move"
     LATE_PAUSE = "other pause"
     LATE_ANSWER = "late answer"
-    ENGINE_LEFT = "engine left"
+    ENGINE_TERMINATED = "engine left"
     ENGINE_CRASHED = "engine crashed"
     BEFORE_FIRST_EVENT = "engine gone before first event"
     GATEWAY_STOPPED = "gateway stopped"
-    GATEWAY_GONE = "gateway gone"
+    GATEWAY_DIED = "gateway gone"
     NOT_ALLOWED = "not allowed"
     NO_ROOM = "refused: no room"
     QUARANTINED = "refused: crashes endpoints"
     REFUSED = "refused: other"
     EXPIRED = "time up"
-    NO_WHOLE_ANSWER = "no whole answer"
-    CALLER_LEFT = "caller left"
+    INCOMPLETE_ANSWER = "no whole answer"
+    CALLER_DISCONNECTED = "caller left"
     ENDPOINT_FAILED = "endpoint failed"
     UNKNOWN = "unknown"
 
 
 class Cause:
-    """A kind and a sentence."""
+    """A :class:`CauseKind`, and one sentence that explains it."""
 
     __slots__ = ("kind", "sentence")
 
@@ -46,220 +46,224 @@
         self.sentence = sentence
 
 
-# What a copy's status means, as an engine answers it; 0 is the gateway's own for no answer.
-COPY_STATUSES = {
-    0: "the copy of the stream was not through by then",
-    404: "the engine had not begun to run it, so that there was nothing to copy",
-    409: "a copy of it was under way already",
-    503: "the other engine had no memory for a copy",
+# Meaning of a failed copy's HTTP status; 0: the gateway got no response.
+COPY_FAILURES_BY_STATUS = {
+    0: "the copy of the stream had not completed by then",
+    404: "the engine had not started to run it, so there was nothing to copy",
+    409: "a copy of it was already in progress",
+    503: "the target engine had no memory for a copy",
 }
 SERVER_ERROR = 500
-# A gateway that stops lets streams run on for some seconds; sooner, the cause is another.
+# A stopping gateway does not cut streams before this grace period; an earlier end has another
+# cause.
 STOP_GRACE_SECONDS = 5.0
 
 
-def classify(story: Story) -> Cause:
-    """Why the request ended as it did."""
-    found = (finder(story) for finder in FINDERS)
+def classify(timeline: RequestTimeline) -> Cause:
+    """The cause of the request's outcome."""
+    found = (finder(timeline) for finder in FINDERS)
     return next((cause for cause in found if cause), UNKNOWN)
 
 
-def find_cause(story: Story) -> str:
-    """One sentence on why the request ended as it did."""
-    return classify(story).sentence
+def find_cause(timeline: RequestTimeline) -> str:
+    """One sentence that explains the request's outcome."""
+    return classify(timeline).sentence
 
 
 UNKNOWN = Cause(
     CauseKind.UNKNOWN,
-    "The logs do not tell: look at the lines above, and at log:left-out of its gateway.",
+    "The logs do not show the cause: check the lines above and its gateway's log:left-out lines.",
 )
 
 
-def _unfinished(story: Story) -> Cause | None:
-    if story.end is not None:
+def _unfinished(timeline: RequestTimeline) -> Cause | None:
+    if timeline.end is not None:
         return None
-    last = story.own[-1]
+    last = timeline.own_lines[-1]
     return Cause(
-        CauseKind.GATEWAY_GONE,
-        f"Its gateway {last.instance} was gone before it ended: no line tells its outcome.",
+        CauseKind.GATEWAY_DIED,
+        f"Gateway {last.instance} exited before the request ended: no log line has its outcome.",
     )
 
 
-def _not_allowed(story: Story) -> Cause | None:
-    end = story.end
+def _not_allowed(timeline: RequestTimeline) -> Cause | None:
+    end = timeline.end
     if end.get("outcome") not in ("UNKNOWN_KEY", "UNKNOWN_ROUTE"):
         return None
     what = "key" if end.get("outcome") == "UNKNOWN_KEY" else "route"
     newer = [
         line
-        for line in story.around
+        for line in timeline.context
         if line.type == "config:accepted" and line.at > end.at - end.get("seconds")
     ]
-    sentence = f"Version {end.get('config')} of the configuration has no such {what}"
+    sentence = f"Configuration version {end.get('config')} has no such {what}"
     if newer:
         delay = newer[0].at - end.at
-        sentence += f"; version {newer[0].get('version')} came {delay:.2f} s after it ended"
-    if _store_was_lost(story):
-        sentence += "; its gateway could not reach the store meanwhile"
-    sentence += _failed_watches(story)
+        sentence += (
+            f"; version {newer[0].get('version')} came {delay:.2f} s after the request ended"
+        )
+    if _store_was_unreachable(timeline):
+        sentence += "; its gateway could not reach the store at the time"
+    sentence += _failed_watches(timeline)
     return Cause(CauseKind.NOT_ALLOWED, sentence + ".")
 
 
-def _failed_watches(story: Story) -> str:
-    """What its gateway got no whole answer about, as the end of a sentence."""
+def _failed_watches(timeline: RequestTimeline) -> str:
+    """The gateway's watches that kept failing, as the end of a sentence."""
     failures_by_kind = {
         line.get("kind"): line.get("failures")
-        for line in story.around
+        for line in timeline.context
         if line.type == "watch:failed"
     }
     return "".join(
-        f"; its gateway's watch of {kind} got no whole answer, {failures} times in a row"
+        f"; its gateway's watch of {kind} got no complete response, {failures} times in a row"
         for kind, failures in failures_by_kind.items()
     )
 
 
-def _store_was_lost(story: Story) -> bool:
-    states = [line.type for line in story.around if line.type in ("store:lost", "store:back")]
+def _store_was_unreachable(timeline: RequestTimeline) -> bool:
+    states = [line.type for line in timeline.context if line.type in ("store:lost", "store:back")]
     return bool(states) and "store:lost" in states
 
 
-def _refused(story: Story) -> Cause | None:
-    end = story.end
+def _refused(timeline: RequestTimeline) -> Cause | None:
+    end = timeline.end
     sentences = {
         "NO_CONFIGURATION": "Its gateway had no configuration yet.",
-        "BEHIND": "Its gateway had an older configuration than another one, which may allow it.",
-        "NO_ENDPOINT": "No endpoint of its service took work.",
-        "NO_MEMORY": "Its gateway held too many bytes of request bodies.",
-        "STOPPING": "Its gateway was stopping and could not have finished it.",
+        "BEHIND": "Another gateway had a newer configuration, which may allow it.",
+        "NO_ENDPOINT": "No endpoint of its service accepted requests.",
+        "NO_MEMORY": "The request bodies buffered by its gateway exceeded the memory limit.",
+        "STOPPING": "Its gateway was shutting down and could not have completed it.",
     }
     if end.get("outcome") == "QUARANTINED":
         return Cause(
             CauseKind.QUARANTINED,
-            f"Requests for the same had crashed what ran them: {end.get('detail')}. It has not run"
-            f" and may come back in {end.get('retry_after')} s.",
+            f"Similar requests had crashed their endpoints: {end.get('detail')}. It has not run and"
+            f" may be retried after {end.get('retry_after')} s.",
         )
     if end.get("outcome") == "NO_ROOM":
-        refusals = len(story.every("stream:refused")) + len(story.every("request:attempt"))
-        why = end.get("detail") or f"{refusals} endpoints would not run it"
-        return Cause(CauseKind.NO_ROOM, f"There was no room: {why}. It has not run.")
+        refusals = len(timeline.all_of("stream:refused")) + len(timeline.all_of("request:attempt"))
+        why = end.get("detail") or f"{refusals} endpoints refused it"
+        return Cause(CauseKind.NO_ROOM, f"No capacity: {why}. It has not run.")
     sentence = sentences.get(end.get("outcome"))
     return sentence and Cause(CauseKind.REFUSED, f"{sentence} It has not run.")
 
 
-def _stopped(story: Story) -> Cause | None:
-    """A stream that a stopping gateway could not finish within its grace."""
-    broken = story.last("stream:broken")
-    stops = [line for line in story.around if line.type == "process:stopping"]
+def _cut_by_gateway_stop(timeline: RequestTimeline) -> Cause | None:
+    """A stream that a stopping gateway could not finish within its grace period."""
+    broken = timeline.last("stream:broken")
+    stops = [line for line in timeline.context if line.type == "process:stopping"]
     if broken is None or not stops:
         return None
-    waited = broken.at - stops[0].at
-    if waited < STOP_GRACE_SECONDS or story.notice(broken.get("endpoint")) is not None:
+    elapsed = broken.at - stops[0].at
+    if elapsed < STOP_GRACE_SECONDS or timeline.leave_notice(broken.get("endpoint")) is not None:
         return None
     return Cause(
         CauseKind.GATEWAY_STOPPED,
-        f"Its gateway {broken.instance} ended {waited:.2f} s after it was told to stop, with the"
-        " stream unfinished.",
+        f"Gateway {broken.instance} exited {elapsed:.2f} s after it was told to stop, before the"
+        " stream was complete.",
     )
 
 
-def _stream_broken(story: Story) -> Cause | None:
-    broken = story.last("stream:broken")
+def _stream_broken(timeline: RequestTimeline) -> Cause | None:
+    broken = timeline.last("stream:broken")
     if broken is None:
         return None
     engine = broken.get("endpoint")
-    notice = story.notice(engine)
+    notice = timeline.leave_notice(engine)
     if notice is None or notice.at > broken.at:
         kind = CauseKind.ENGINE_CRASHED
-        sentence = f"Engine {engine} broke off without notice"
+        sentence = f"Engine {engine} failed without notice"
     else:
-        kind = CauseKind.ENGINE_LEFT
-        sentence = f"Engine {engine} was gone {broken.at - notice.at:.2f} s after its notice"
+        kind = CauseKind.ENGINE_TERMINATED
+        sentence = f"Engine {engine} terminated {broken.at - notice.at:.2f} s after its notice"
     if broken.get("last_event") is None:
         kind = CauseKind.BEFORE_FIRST_EVENT
-    return Cause(kind, f"{sentence}, and {_why_not_elsewhere(story, engine)}.")
+    return Cause(kind, f"{sentence}, and {_why_not_resumed(timeline, engine)}.")
 
 
-def _why_not_elsewhere(story: Story, engine: str) -> str:
-    if story.last("stream:broken").get("last_event") is None:
-        return "it had sent nothing yet, so that the request may have run and cannot run elsewhere"
-    if story.last("stream:not-resumed") is not None:
-        return "it does not go on from its copy, as endpoints ended under such requests before"
-    copies = [line for line in story.every("move:copied") if line.get("source") == engine]
+def _why_not_resumed(timeline: RequestTimeline, engine: str) -> str:
+    if timeline.last("stream:broken").get("last_event") is None:
+        return "it had sent no event yet, so the request may have run and must not run elsewhere"
+    if timeline.last("stream:not-resumed") is not None:
+        return "its copy was not resumed because similar requests had crashed endpoints"
+    copies = [line for line in timeline.all_of("move:copied") if line.get("source") == engine]
     if not copies:
-        return "the stream had no copy elsewhere and none was tried"
+        return "the stream had no copy elsewhere and none was attempted"
     status = copies[-1].get("status")
-    return COPY_STATUSES.get(status, f"its last copy ended with status {status}")
+    return COPY_FAILURES_BY_STATUS.get(status, f"its last copy failed with status {status}")
 
 
-def _attempts(story: Story) -> str:
-    """The endpoints that were tried, each with how that ended."""
-    tried = story.every("request:attempt")
-    return ", ".join(f"{line.get('endpoint')}: {line.get('end')}" for line in tried)
+def _describe_attempts(timeline: RequestTimeline) -> str:
+    """The attempted endpoints, each with the attempt's end."""
+    attempts = timeline.all_of("request:attempt")
+    return ", ".join(f"{line.get('endpoint')}: {line.get('end')}" for line in attempts)
 
 
-def _expired(story: Story) -> Cause | None:
-    if story.end.get("outcome") != "EXPIRED" and story.last("stream:expired") is None:
+def _expired(timeline: RequestTimeline) -> Cause | None:
+    if timeline.end.get("outcome") != "EXPIRED" and timeline.last("stream:expired") is None:
         return None
-    attempts = _attempts(story) or "no endpoint had answered"
-    return Cause(CauseKind.EXPIRED, f"Its time was up ({attempts}).")
+    attempts = _describe_attempts(timeline) or "no endpoint had responded"
+    return Cause(CauseKind.EXPIRED, f"Its deadline passed ({attempts}).")
 
 
-def _no_whole_answer(story: Story) -> Cause | None:
-    if story.end.get("outcome") != "BROKEN":
+def _incomplete_answer(timeline: RequestTimeline) -> Cause | None:
+    if timeline.end.get("outcome") != "BROKEN":
         return None
     return Cause(
-        CauseKind.NO_WHOLE_ANSWER,
-        f"No endpoint gave a whole answer of its own ({_attempts(story)}); it may have run.",
+        CauseKind.INCOMPLETE_ANSWER,
+        f"No endpoint returned a complete response of its own ({_describe_attempts(timeline)});"
+        " it may have run.",
     )
 
 
-def _caller_left(story: Story) -> Cause | None:
-    if story.end.get("outcome") != "GONE":
+def _caller_disconnected(timeline: RequestTimeline) -> Cause | None:
+    if timeline.end.get("outcome") != "GONE":
         return None
-    seconds = story.end.get("seconds")
-    return Cause(CauseKind.CALLER_LEFT, f"Its caller left after {seconds:.2f} s.")
+    seconds = timeline.end.get("seconds")
+    return Cause(CauseKind.CALLER_DISCONNECTED, f"The client disconnected after {seconds:.2f} s.")
 
 
-def _own_failure(story: Story) -> Cause | None:
-    status = story.end.get("status")
-    if story.end.get("outcome") != "ANSWERED" or status is None or status < SERVER_ERROR:
+def _endpoint_error(timeline: RequestTimeline) -> Cause | None:
+    status = timeline.end.get("status")
+    if timeline.end.get("outcome") != "ANSWERED" or status is None or status < SERVER_ERROR:
         return None
     return Cause(
         CauseKind.ENDPOINT_FAILED,
-        f"The endpoint itself answered {status}; its answer was passed on unchanged.",
+        f"The endpoint itself returned {status}; its response was forwarded unchanged.",
     )
 
 
-def _late(story: Story) -> Cause | None:
-    late = story.last("stream:late")
-    if late is None or story.end.get("outcome") != "ANSWERED":
+def _late(timeline: RequestTimeline) -> Cause | None:
+    late = timeline.last("stream:late")
+    if late is None or timeline.end.get("outcome") != "ANSWERED":
         return None
-    waited = story.last("stream:placed")
+    placed = timeline.last("stream:placed")
     if late.get("moves") and late.get("gap_event") is not None:
         return Cause(
-            CauseKind.LATE_MOVED,
+            CauseKind.LATE_MIGRATION,
             f"On time but for a pause of {late.get('gap')} s before event {late.get('gap_event')};"
-            f" it went on at another engine {late.get('moves')} times.",
+            f" it was migrated to another engine {late.get('moves')} times.",
         )
-    if story.last("stream:waits") is not None and waited is not None:
-        seconds = waited.at - story.last("stream:waits").at
+    if timeline.last("stream:waits") is not None and placed is not None:
+        seconds = placed.at - timeline.last("stream:waits").at
         return Cause(
-            CauseKind.LATE_WAITED,
-            f"Late: it waited {seconds:.2f} s in its gateway until an engine had room.",
+            CauseKind.LATE_QUEUED,
+            f"Late: it was queued {seconds:.2f} s in its gateway until an engine had capacity.",
         )
     first, gap = late.get("first"), late.get("gap")
     return Cause(
-        CauseKind.LATE_PAUSE if late.get("paused") else CauseKind.LATE_FIRST,
-        f"Late: its first event came after {first} s, with a pause of {gap} s.",
+        CauseKind.LATE_PAUSE if late.get("paused") else CauseKind.LATE_FIRST_EVENT,
+        f"Late: its first event arrived after {first} s, with a pause of {gap} s.",
     )
 
 
-def _on_time(story: Story) -> Cause | None:
-    if story.end.get("outcome") != "ANSWERED":
+def _on_time(timeline: RequestTimeline) -> Cause | None:
+    if timeline.end.get("outcome") != "ANSWERED":
         return None
     return Cause(
-        CauseKind.LATE_ANSWER if story.end.get("late") else CauseKind.ON_TIME,
-        f"It was answered with {story.end.get('status')} in {story.end.get('seconds')} s.",
+        CauseKind.LATE_ANSWER if timeline.end.get("late") else CauseKind.ON_TIME,
+        f"It was answered with {timeline.end.get('status')} in {timeline.end.get('seconds')} s.",
     )
 
 
@@ -267,12 +271,12 @@
     _unfinished,
     _not_allowed,
     _refused,
-    _stopped,
+    _cut_by_gateway_stop,
     _stream_broken,
     _expired,
-    _no_whole_answer,
-    _caller_left,
-    _own_failure,
+    _incomplete_answer,
+    _caller_disconnected,
+    _endpoint_error,
     _late,
     _on_time,
 )
--- a/src/guavacleat/explain/lines.py
+++ b/src/guavacleat/explain/lines.py
@@ -1,4 +1,4 @@
-"""Reading log lines: one JSON object a line, with or without a time and an instance before it."""
+"""Reading logs: one JSON object per line, optionally prefixed with a time and an instance."""
 
 import json
 import sys
@@ -6,15 +6,15 @@
 
 __all__ = ["LogLine", "UnreadableLogError", "read_files", "read_lines"]
 
-# Fields of every line that say nothing of their own.
-FRAME = {"timestamp", "task_uuid", "task_level", "message_type"}
+# Fields that every line has.
+COMMON_FIELDS = {"timestamp", "task_uuid", "task_level", "message_type"}
 
 
 class LogLine:
-    """One line of one process.
+    """One line of one process's log.
 
-    :param at: seconds; from the prefix if there is one, else the process's time of day.
-    :param instance: who wrote it: from the prefix, else the name of the file.
+    :param at: seconds; from the prefix if there is one, else the line's timestamp.
+    :param instance: the instance that wrote it: from the prefix, else the file's name.
     :param type: the line's ``message_type``.
     """
 
@@ -27,20 +27,20 @@
         self.fields = fields
 
     def get(self, name: str):
-        """A field's value, None if the line has no such field."""
+        """A field's value, or None."""
         return self.fields.get(name)
 
     def __str__(self) -> str:
-        said = (f"{name}={value}" for name, value in self.fields.items() if value is not None)
-        return " ".join([self.type, *said])
+        pairs = (f"{name}={value}" for name, value in self.fields.items() if value is not None)
+        return " ".join([self.type, *pairs])
 
 
 class UnreadableLogError(Exception):
-    """A file of log lines cannot be read."""
+    """A log file cannot be read."""
 
 
 def read_files(names: list[str]) -> list[LogLine]:
-    """Read the lines of all files, standard input if there are none."""
+    """Read the log lines of all files, or of standard input if none is given."""
     if not names:
         return read_lines(sys.stdin, "stdin")
     return [line for name in names for line in _read_file(name)]
@@ -55,7 +55,7 @@
 
 
 def read_lines(source, instance: str) -> list[LogLine]:
-    """Read a file's lines; what is no log line is left out."""
+    """Read a file's log lines; other lines are skipped."""
     parsed = (_parse(text, instance) for text in source)
     return [line for line in parsed if line is not None]
 
@@ -70,13 +70,13 @@
         return None
     if "message_type" not in body:
         return None
-    at, instance = _read_prefix(prefix.split(), body, instance)
-    fields = {name: value for name, value in body.items() if name not in FRAME}
+    at, instance = _parse_prefix(prefix.split(), body, instance)
+    fields = {name: value for name, value in body.items() if name not in COMMON_FIELDS}
     return LogLine(at, instance, body["message_type"], fields)
 
 
-def _read_prefix(words: list[str], body: dict, instance: str) -> tuple[float, str]:
-    """The line's time and instance: what stands before the object goes first."""
+def _parse_prefix(words: list[str], body: dict, instance: str) -> tuple[float, str]:
+    """The line's time and instance; the prefix takes precedence over the object's fields."""
     try:
         at = float(words[0])
     except (IndexError, ValueError):
--- a/src/guavacleat/report/__init__.py
+++ b/src/guavacleat/report/__init__.py
@@ -1,4 +1,4 @@
-"""Where a run's gateways lost what their callers asked for, from their logs."""
+"""Reports a run's failed and late requests by cause, from the gateways' logs."""
 
 from guavacleat.report.engines import EngineHistory, engine_histories
 from guavacleat.report.ledger import Ledger, Outcome, Result, Worth, make_ledger
--- a/src/guavacleat/report/engines.py
+++ b/src/guavacleat/report/engines.py
@@ -1,12 +1,12 @@
-"""What became of each engine: its coming, what it held, its notice, the copies off it, its end."""
+"""Each engine's history: start, estimated memory, termination notice, outgoing copies, end."""
 
 from guavacleat.explain import LogIndex, LogLine
 
-__all__ = ["Belief", "CopyOff", "EngineHistory", "engine_histories"]
+__all__ = ["PlacementEstimate", "OutgoingCopy", "EngineHistory", "engine_histories"]
 
 
-class Belief:
-    """What a gateway believed of an engine as it sent a generation there."""
+class PlacementEstimate:
+    """A gateway's estimate of an engine's load when it placed a generation there."""
 
     __slots__ = ("at", "instance", "runs", "expected", "unread")
 
@@ -18,28 +18,28 @@
         self.unread = line.get("unread") or 0
 
 
-class CopyOff:
-    """One copy off an engine, from when it was asked for until it was there or failed."""
+class OutgoingCopy:
+    """One copy of a stream from an engine, from the request until completion or failure."""
 
-    __slots__ = ("began", "ended", "tokens", "status", "target")
+    __slots__ = ("started_at", "ended_at", "tokens", "status", "target")
 
     def __init__(self, line: LogLine):
-        self.began = line.at - (line.get("seconds") or 0.0)
-        self.ended = line.at
+        self.started_at = line.at - (line.get("seconds") or 0.0)
+        self.ended_at = line.at
         self.tokens = line.get("tokens") or 0
         self.status = line.get("status")
         self.target = line.get("target")
 
     @property
-    def made(self) -> bool:
+    def succeeded(self) -> bool:
         return self.status == 200
 
 
 class EngineHistory:
-    """One engine; times in seconds, None where no gateway told of it.
+    """One engine; times in seconds, None where no gateway logged one.
 
-    :param notice_at: when a gateway first heard that it leaves.
-    :param ended_at: when the last stream on it broke off.
+    :param notice_at: when a gateway first learned that it is leaving.
+    :param ended_at: when the last stream on it broke.
     """
 
     __slots__ = (
@@ -48,7 +48,7 @@
         "ready_at",
         "notice_at",
         "ended_at",
-        "beliefs",
+        "estimates",
         "copies",
         "broken",
         "handed_over",
@@ -60,46 +60,46 @@
         self.ready_at: float | None = None
         self.notice_at: float | None = None
         self.ended_at: float | None = None
-        self.beliefs: list[Belief] = []
-        self.copies: list[CopyOff] = []
+        self.estimates: list[PlacementEstimate] = []
+        self.copies: list[OutgoingCopy] = []
         self.broken = 0
         self.handed_over = 0
 
     @property
-    def notice(self) -> float | None:
-        """Seconds from its notice to its end, if a stream saw both."""
+    def notice_seconds(self) -> float | None:
+        """Seconds from its notice to its end, None unless both were logged."""
         if self.notice_at is None or self.ended_at is None:
             return None
         return self.ended_at - self.notice_at
 
     @property
     def copied_tokens(self) -> int:
-        return sum(copy.tokens for copy in self.copies if copy.made)
+        return sum(copy.tokens for copy in self.copies if copy.succeeded)
 
-    def link_busy(self) -> float:
-        """Seconds in which at least one copy off the engine was under way."""
+    def link_busy_seconds(self) -> float:
+        """Seconds in which at least one copy from the engine was in progress."""
         busy, until = 0.0, float("-inf")
-        for copy in sorted(self.copies, key=lambda copy: copy.began):
-            busy += max(0.0, copy.ended - max(copy.began, until))
-            until = max(until, copy.ended)
+        for copy in sorted(self.copies, key=lambda copy: copy.started_at):
+            busy += max(0.0, copy.ended_at - max(copy.started_at, until))
+            until = max(until, copy.ended_at)
         return busy
 
-    def expected_at_notice(self) -> int | None:
-        """Memory that the last generation's gateway expected there before the notice."""
-        before = [
-            belief.expected
-            for belief in self.beliefs
-            if self.notice_at is None or belief.at <= self.notice_at
+    def expected_tokens_at_notice(self) -> int | None:
+        """Expected memory use in tokens, as last estimated by a gateway before the notice."""
+        estimated = [
+            estimate.expected
+            for estimate in self.estimates
+            if self.notice_at is None or estimate.at <= self.notice_at
         ]
-        return before[-1] if before else None
+        return estimated[-1] if estimated else None
 
-    def _take(self, line: LogLine) -> None:
+    def _add_line(self, line: LogLine) -> None:
         if line.type == "endpoint:changed":
-            self._take_change(line)
+            self._add_state_change(line)
         elif line.type == "stream:placed":
-            self.beliefs.append(Belief(line))
+            self.estimates.append(PlacementEstimate(line))
         elif line.type == "move:copied":
-            self.copies.append(CopyOff(line))
+            self.copies.append(OutgoingCopy(line))
         elif line.type == "stream:handed-over":
             self.handed_over += 1
         elif line.type == "stream:broken" and line.get("end") == "broken":
@@ -107,7 +107,7 @@
             if self.notice_at is not None:
                 self.ended_at = line.at
 
-    def _take_change(self, line: LogLine) -> None:
+    def _add_state_change(self, line: LogLine) -> None:
         self.data_centre = line.get("data_centre")
         state = line.get("state")
         if state == "ready" and self.ready_at is None:
@@ -117,10 +117,10 @@
 
 
 def engine_histories(index: LogIndex) -> list[EngineHistory]:
-    """Histories of the endpoints that ran generations, in the order in which they came."""
+    """Histories of the endpoints that ran generations, in order of their first log line."""
     by_id: dict[str, EngineHistory] = {}
     for line in index.lines:
         id = line.get("source") or line.get("endpoint")
         if id is not None:
-            by_id.setdefault(id, EngineHistory(id))._take(line)
-    return [history for history in by_id.values() if history.beliefs]
+            by_id.setdefault(id, EngineHistory(id))._add_line(line)
+    return [history for history in by_id.values() if history.estimates]
--- a/src/guavacleat/report/ledger.py
+++ b/src/guavacleat/report/ledger.py
@@ -1,40 +1,40 @@
-"""Each request's outcome and its cause, and what they add up to per route and second.
+"""Requests' outcomes with their causes, aggregated per route and per time span.
 
-A gateway's logs do not know what an answer is worth. :class:`Worth` says it per route; without
-one, each request counts 1 on time and nothing late.
+Logs do not contain the worth of a response. :class:`Worth` gives it per route; by default a
+response on time counts 1 and a late one 0.
 """
 
 import collections
 import enum
 import math
 
-from guavacleat.explain import CauseKind, LogIndex, Story, classify, tell
+from guavacleat.explain import CauseKind, LogIndex, RequestTimeline, build_timeline, classify
 
 __all__ = ["Ledger", "Outcome", "Result", "Worth", "make_ledger"]
 
 UNKNOWN_ROUTE = "(unknown)"
 LATE_KINDS = {
-    CauseKind.LATE_WAITED,
-    CauseKind.LATE_FIRST,
-    CauseKind.LATE_MOVED,
+    CauseKind.LATE_QUEUED,
+    CauseKind.LATE_FIRST_EVENT,
+    CauseKind.LATE_MIGRATION,
     CauseKind.LATE_PAUSE,
     CauseKind.LATE_ANSWER,
 }
-# What no gateway can serve: the configuration forbids it, or its caller left by itself.
-NOT_OWED = {CauseKind.NOT_ALLOWED, CauseKind.CALLER_LEFT}
+# Excluded from the total: the configuration forbids the request, or its client disconnected.
+EXCLUDED_CAUSES = {CauseKind.NOT_ALLOWED, CauseKind.CALLER_DISCONNECTED}
 
 
 class Result(enum.Enum):
-    """What the caller got."""
+    """How the request counts; the report prints the values."""
 
     ON_TIME = "on time"
     LATE = "late"
     LOST = "lost"
-    NOT_OWED = "not owed"
+    EXCLUDED = "not owed"
 
 
 class Worth:
-    """What an answer of a route is worth."""
+    """Worth of a response on a route."""
 
     __slots__ = ("on_time", "late")
 
@@ -42,18 +42,19 @@
         self.on_time = on_time
         self.late = late
 
-    def missing(self, result: Result) -> float:
-        """What is not earned of an answer's worth."""
+    def lost_worth(self, result: Result) -> float:
+        """The part of a response's worth that ``result`` loses."""
         if result is Result.LATE:
             return self.on_time - self.late
         return self.on_time if result is Result.LOST else 0.0
 
 
 class Outcome:
-    """How one request ended.
+    """The result of one request, with its cause.
 
-    :param at: when it arrived, seconds.
+    :param at: arrival time in seconds.
     :param stream: whether it was a stream.
+    :param kind: the cause.
     """
 
     __slots__ = ("request", "route", "at", "stream", "result", "kind")
@@ -64,13 +65,13 @@
         self.at = at
         self.stream = stream
         self.kind = kind
-        self.result = _result(kind)
+        self.result = _result_for(kind)
 
 
 class Ledger:
-    """Outcomes, with what they are worth.
+    """Outcomes, weighted with their routes' worth.
 
-    :param worth_by_route: :class:`Worth`; routes without one count 1 for an answer on time.
+    :param worth_by_route: routes without an entry have the default :class:`Worth`.
     """
 
     def __init__(self, outcomes: list[Outcome], worth_by_route: dict[str, Worth]):
@@ -81,16 +82,16 @@
         return self.worth_by_route.get(outcome.route, Worth())
 
     @property
-    def owed(self) -> float:
-        """What all that is owed is worth."""
+    def total_worth(self) -> float:
+        """Worth of all requests that are not excluded, if answered on time."""
         return math.fsum(
             self.worth(outcome).on_time
             for outcome in self.outcomes
-            if outcome.result is not Result.NOT_OWED
+            if outcome.result is not Result.EXCLUDED
         )
 
     def counts(self) -> dict[str, collections.Counter]:
-        """Requests by result, by route."""
+        """Number of requests by route and result."""
         counts_by_route: dict[str, collections.Counter] = collections.defaultdict(
             collections.Counter
         )
@@ -99,31 +100,31 @@
         return counts_by_route
 
     def losses(self) -> dict[tuple[str, CauseKind], "Loss"]:
-        """What is missing by route and cause; together with what is earned it makes all owed."""
+        """Lost worth by route and cause; with the earned worth it adds up to the total."""
         losses: dict[tuple[str, CauseKind], Loss] = {}
         for outcome in self.outcomes:
-            missing = self.worth(outcome).missing(outcome.result)
-            if missing:
+            lost_worth = self.worth(outcome).lost_worth(outcome.result)
+            if lost_worth:
                 loss = losses.setdefault((outcome.route, outcome.kind), Loss())
                 loss.requests += 1
-                loss.worth += missing
+                loss.worth += lost_worth
         return losses
 
-    def missing_by_second(self, seconds: float) -> dict[CauseKind, collections.Counter]:
-        """Worth missing by cause, by the start of the span of ``seconds`` in which it arrived."""
-        missing_by_kind: dict[CauseKind, collections.Counter] = collections.defaultdict(
+    def lost_worth_by_span(self, seconds: float) -> dict[CauseKind, collections.Counter]:
+        """Lost worth by cause and by the start of the arrival's span of ``seconds``."""
+        lost_worth_by_kind: dict[CauseKind, collections.Counter] = collections.defaultdict(
             collections.Counter
         )
         for outcome in self.outcomes:
-            missing = self.worth(outcome).missing(outcome.result)
-            if missing:
+            lost_worth = self.worth(outcome).lost_worth(outcome.result)
+            if lost_worth:
                 span = math.floor(outcome.at / seconds) * seconds
-                missing_by_kind[outcome.kind][span] += missing
-        return missing_by_kind
+                lost_worth_by_kind[outcome.kind][span] += lost_worth
+        return lost_worth_by_kind
 
 
 class Loss:
-    """Requests and worth that one cause cost on one route."""
+    """Requests and worth lost to one cause on one route."""
 
     __slots__ = ("requests", "worth")
 
@@ -133,33 +134,35 @@
 
 
 def make_ledger(index: LogIndex, worth_by_route: dict[str, Worth]) -> Ledger:
-    """Tell every request's story and add them up."""
-    stories = (tell(request, index) for request in index.by_request)
-    return Ledger([_outcome(story) for story in stories], worth_by_route)
+    """Classify every request of the logs."""
+    timelines = (build_timeline(request, index) for request in index.by_request)
+    return Ledger([_make_outcome(timeline) for timeline in timelines], worth_by_route)
 
 
-def _outcome(story: Story) -> Outcome:
-    arrivals = (line.at - line.get("seconds") for line in story.own if line.type == "request:end")
+def _make_outcome(timeline: RequestTimeline) -> Outcome:
+    arrivals = (
+        line.at - line.get("seconds") for line in timeline.own_lines if line.type == "request:end"
+    )
     return Outcome(
-        story.request,
-        _route(story),
-        min([story.own[0].at, *arrivals]),
-        any(line.type.startswith("stream:") for line in story.own),
-        classify(story).kind,
+        timeline.request,
+        _route_name(timeline),
+        min([timeline.own_lines[0].at, *arrivals]),
+        any(line.type.startswith("stream:") for line in timeline.own_lines),
+        classify(timeline).kind,
     )
 
 
-def _route(story: Story) -> str:
-    """The route's name; a request that no route matched is told by its path, each another."""
-    end = story.end
+def _route_name(timeline: RequestTimeline) -> str:
+    """The route's name; requests without a matching route share one, as their paths differ."""
+    end = timeline.end
     if end is None or end.get("outcome") == "UNKNOWN_ROUTE":
         return UNKNOWN_ROUTE
     return end.get("route")
 
 
-def _result(kind: CauseKind) -> Result:
+def _result_for(kind: CauseKind) -> Result:
     if kind is CauseKind.ON_TIME:
         return Result.ON_TIME
     if kind in LATE_KINDS:
         return Result.LATE
-    return Result.NOT_OWED if kind in NOT_OWED else Result.LOST
+    return Result.EXCLUDED if kind in EXCLUDED_CAUSES else Result.LOST
--- a/src/guavacleat/report/tables.py
+++ b/src/guavacleat/report/tables.py
@@ -1,4 +1,4 @@
-"""The report as text."""
+"""Text tables of the report."""
 
 from tabulate import tabulate
 
@@ -18,28 +18,31 @@
 
 
 def loss_table(ledger: Ledger) -> str:
-    """What is missing by route and cause, as shares of all that is owed; they add up to 1."""
-    owed = ledger.owed or 1.0
+    """Lost worth by route and cause, and the earned worth, as shares of the total."""
+    total_worth = ledger.total_worth or 1.0
     losses = sorted(ledger.losses().items(), key=lambda item: -item[1].worth)
-    rows = [[route, kind.value, loss.requests, loss.worth / owed] for (route, kind), loss in losses]
+    rows = [
+        [route, kind.value, loss.requests, loss.worth / total_worth]
+        for (route, kind), loss in losses
+    ]
     earned = 1.0 - sum(row[-1] for row in rows)
     rows.append(["all", "earned", "", earned])
     return tabulate(rows, headers=["route", "cause", "requests", "share"], floatfmt=".4f")
 
 
 def engine_table(histories: list[EngineHistory]) -> str:
-    """One row an engine; tokens expected there are what gateways believed."""
+    """One row per engine; the expected tokens are gateways' estimates."""
     rows = [
         [
             history.id,
             history.data_centre,
             history.ready_at,
             history.notice_at,
-            history.notice,
-            history.expected_at_notice(),
+            history.notice_seconds,
+            history.expected_tokens_at_notice(),
             len(history.copies),
             history.copied_tokens,
-            history.link_busy(),
+            history.link_busy_seconds(),
             history.handed_over,
             history.broken,
         ]
