--- a/src/guavacleat/checks/__init__.py
+++ b/src/guavacleat/checks/__init__.py
@@ -1,4 +1,4 @@
-"""History checks for concurrent runs: what callers received against what the promises allow."""
+"""Checks that the recorded histories of concurrent runs satisfy the system's guarantees."""
 
 from guavacleat.checks.history import (
     CallAttempt,
--- a/src/guavacleat/checks/history.py
+++ b/src/guavacleat/checks/history.py
@@ -1,11 +1,11 @@
-"""Checkers over recorded histories; each returns the violations found (empty when all holds).
-
-- :func:`check_stream`: one caller's tokens arrived each once, in order, forming one answer:
-  the token at each index is the one the endpoint serving at that moment produced, and an
-  endpoint that took over was given exactly the tokens already sent.
-- :func:`check_versions`: a daemon's configuration versions in force never went back.
-- :func:`check_calls`: a non-repeatable call ran at most once, a request refused as not run did
-  not run, and nobody received the answer to another call.
+"""Checks of recorded histories; each returns the violations found.
+
+- :func:`check_stream`: a caller receives each token exactly once, in order, as one answer: each
+  token is the one that the serving endpoint produced at this index, and an endpoint that resumes
+  the stream is started with exactly the tokens already sent.
+- :func:`check_versions`: a daemon's configuration version never decreases.
+- :func:`check_calls`: a non-repeatable call runs at most once, a call reported as not run did not
+  run, and no client receives the answer to another call.
 """
 
 from collections import Counter
@@ -14,31 +14,32 @@
 
 
 class Violation:
-    """One broken promise found in a history: which, and where."""
+    """A violated guarantee, with details of where it was found."""
 
-    __slots__ = ("promise", "detail")
+    __slots__ = ("guarantee", "detail")
 
-    def __init__(self, promise: str, detail: str):
-        self.promise = promise
+    def __init__(self, guarantee: str, detail: str):
+        self.guarantee = guarantee
         self.detail = detail
 
     def __repr__(self) -> str:
-        return f"Violation({self.promise}: {self.detail})"
+        return f"Violation({self.guarantee}: {self.detail})"
 
 
 def check_stream(received, produced_by_attempt, resumes_by_attempt) -> list[Violation]:
     """Check one stream.
 
-    :param received: ``[(index, text, attempt)]`` in the order the caller got them; ``attempt``
-        names the endpoint attempt that was serving when the token was sent.
-    :param produced_by_attempt: ``{attempt: [text, ...]}``, what each attempt emitted by index.
-    :param resumes_by_attempt: ``{attempt: [text, ...]}``, the tokens each attempt was started
-        with (empty for the first).
+    :param received: ``[(index, text, attempt)]`` in the order of receipt; ``attempt``
+        identifies the endpoint attempt that served the token.
+    :param produced_by_attempt: ``{attempt: [text, ...]}``, the tokens that each attempt
+        produced.
+    :param resumes_by_attempt: ``{attempt: [text, ...]}``, the tokens that each attempt was
+        resumed with (empty for the first).
     """
     violations = []
     indices = [index for index, _, _ in received]
     if indices != list(range(len(indices))):
-        violations.append(Violation("once, in order", f"indices {indices}"))
+        violations.append(Violation("exactly once, in order", f"indices {indices}"))
     sent: list[str] = []
     for index, text, attempt in received:
         produced = produced_by_attempt.get(attempt, [])
@@ -52,9 +53,9 @@
 
 
 def check_versions(versions_in_force: list[int]) -> list[Violation]:
-    """Versions in force, in the order a daemon held them, must never decrease."""
+    """Check the configuration versions that a daemon applied, in order."""
     return [
-        Violation("never reverts", f"{before} then {after}")
+        Violation("versions never decrease", f"{before} then {after}")
         for before, after in zip(versions_in_force, versions_in_force[1:], strict=False)
         if after < before
     ]
@@ -65,9 +66,9 @@
 
     :param key: the call's idempotency key.
     :param ran: whether an endpoint ran it for this attempt.
-    :param outcome: what the client was told: ``answered``, ``not_run``, ``accepted``, ``failed``
-        or, if its gateway died first, ``none``.
-    :param answer_key: the key of the call whose answer the client got, or None.
+    :param outcome: the outcome reported to the client: ``answered``, ``not_run``, ``accepted``
+        or ``failed``; ``none`` if its gateway died first.
+    :param answer_key: the key of the call whose answer the client received, or None.
     """
 
     __slots__ = ("key", "ran", "outcome", "answer_key")
@@ -80,21 +81,23 @@
 
 
 def check_calls(attempts: list[CallAttempt]) -> list[Violation]:
-    """Check every attempt at every non-repeatable call of a run."""
+    """Check all attempts at the non-repeatable calls of a run."""
     runs_by_key = Counter(attempt.key for attempt in attempts if attempt.ran)
-    twice = [
+    repeated = [
         Violation("at most once", f"{key} ran {runs} times")
         for key, runs in runs_by_key.items()
         if runs > 1
     ]
-    refused = [
-        Violation("not run means not run", attempt.key)
+    executed = [
+        Violation("no execution if reported as not run", attempt.key)
         for attempt in attempts
         if attempt.ran and attempt.outcome == "not_run"
     ]
-    crossed = [
-        Violation("own answer", f"{attempt.key} got the answer of {attempt.answer_key}")
+    mismatched = [
+        Violation(
+            "answer of the same call", f"{attempt.key} got the answer of {attempt.answer_key}"
+        )
         for attempt in attempts
         if attempt.answer_key not in (None, attempt.key)
     ]
-    return twice + refused + crossed
+    return repeated + executed + mismatched
--- a/src/guavacleat/checks/runs.py
+++ b/src/guavacleat/checks/runs.py
@@ -1,18 +1,19 @@
-"""Checks a whole load run: every caller's history against what the engines did."""
+"""Checks a complete load run: every caller's log against what the engines ran."""
 
 from guavacleat.checks.history import Violation
 
 __all__ = ["check_run"]
 
-# A leaving endpoint may still be sent work this long after its drain began.
+# An endpoint may still receive requests for this long after its drain started.
 DRAIN_SECONDS = 3.0
 
 
 def check_run(run) -> list[Violation]:
-    """Every promise a run of :mod:`guavacleat.load.experiment` can break.
+    """Return all violations in a run of :mod:`guavacleat.load.experiment`.
 
-    Each token once, in order, and of one answer; answers whole; "not run" did not run; a call
-    that may not be repeated ran at most once; no new work on a leaving endpoint.
+    Tokens arrive exactly once, in order, from one generation; answers are complete; a request
+    reported as not run did not run; a non-repeatable call runs at most once; a draining endpoint
+    gets no new requests.
     """
     sequences_by_request = _sequences_by_request(run.fleet)
     violations = []
@@ -34,18 +35,22 @@
 
 def _check_caller(log, sequences) -> list[Violation]:
     name = log.arrival.request_id
-    got = len(log.indices)
+    received = len(log.indices)
     violations = []
-    if log.indices != list(range(got)):
-        violations.append(Violation("once, in order", f"{name} got indices {log.indices}"))
-    if got and not any(sequence.tokens[:got] == log.texts for sequence in sequences):
-        violations.append(Violation("one answer", f"{name} got tokens of no one generation"))
-    if log.outcome == "completed" and got != log.arrival.length:
-        violations.append(Violation("whole", f"{name} got {got} of {log.arrival.length}"))
+    if log.indices != list(range(received)):
+        violations.append(Violation("exactly once, in order", f"{name} got indices {log.indices}"))
+    if received and not any(sequence.tokens[:received] == log.texts for sequence in sequences):
+        violations.append(
+            Violation("one answer", f"{name} got tokens that no single generation produced")
+        )
+    if log.outcome == "completed" and received != log.arrival.length:
+        violations.append(
+            Violation("complete answer", f"{name} got {received} of {log.arrival.length}")
+        )
     if log.outcome == "not_run" and sequences:
-        violations.append(Violation("not run means not run", f"{name} ran"))
+        violations.append(Violation("no execution if reported as not run", f"{name} ran"))
     if log.outcome == "open":
-        violations.append(Violation("answered", f"{name} never got an outcome"))
+        violations.append(Violation("every request has an outcome", f"{name} has none"))
     if not log.arrival.kind.repeatable and len(sequences) > 1:
         violations.append(Violation("at most once", f"{name} ran {len(sequences)} times"))
     return violations
@@ -56,4 +61,8 @@
         return []
     limit = endpoint.drain_started_at + DRAIN_SECONDS
     late = [s for s in endpoint.engine.sequences_by_id.values() if s.arrival > limit]
-    return [Violation("leaving gets no new work", f"{endpoint.name}: {len(late)}")] if late else []
+    return (
+        [Violation("no new requests on a draining endpoint", f"{endpoint.name}: {len(late)}")]
+        if late
+        else []
+    )
