--- a/src/guavacleat/__init__.py
+++ b/src/guavacleat/__init__.py
@@ -1,7 +1,7 @@
-"""guavacleat: serving generations of unknown length on crowded model engines.
+"""guavacleat: serves language model generations of unknown length on overloaded engines.
 
-The package holds one subpackage per duty (settings, the object API client, admission, routing,
-stream relay, the daemons and the stand-ins) and a command line on top of them.
+Subpackages implement settings, the object API client, admission, routing, stream relay, the
+daemons and the stand-ins; :mod:`guavacleat.cmdline` is the command line.
 """
 
 __version__ = "0.1.0"
--- a/src/guavacleat/cmdline.py
+++ b/src/guavacleat/cmdline.py
@@ -1,7 +1,7 @@
 """The ``guavacleat`` command: ``guavacleat COMMAND [--flags]``.
 
 Commands are looked up by name in :data:`COMMANDS_BY_NAME`; only the chosen command's module is
-imported, so ``guavacleat COMMAND --help`` lists that command's flags alone.
+imported, so ``guavacleat COMMAND --help`` lists only that command's flags.
 """
 
 import importlib
@@ -12,18 +12,21 @@
 __all__ = ["COMMANDS_BY_NAME", "get_command_by_name", "run"]
 
 COMMANDS_BY_NAME = {
-    "gateway": ("guavacleat.commands.gateway", "entry daemon behind the platform's balancer"),
+    "gateway": ("guavacleat.commands.gateway", "entry daemon behind the platform's load balancer"),
     "ingress": ("guavacleat.commands.ingress", "gateway for HTTP routes, on the platform"),
-    "sidecar": ("guavacleat.commands.sidecar", "the process beside one endpoint"),
+    "sidecar": ("guavacleat.commands.sidecar", "the process next to one endpoint"),
     "ctl": (
         "guavacleat.commands.ctl",
         "operators: `ctl apply FILE`, `ctl status`, `ctl order ...`",
     ),
-    "explain": ("guavacleat.commands.explain", "a request's story and its cause, from logs"),
-    "report": ("guavacleat.commands.report", "where a run lost worth and why, from logs"),
-    "standin": ("guavacleat.commands.standin", "stand-ins: `standin engine|store|services`"),
-    "load": ("guavacleat.commands.load", "drive the stand-ins with traffic and compare policies"),
-    "demo": ("guavacleat.commands.demo", "the main job on embedded defaults, on loopback"),
+    "explain": ("guavacleat.commands.explain", "a request's timeline and cause, from logs"),
+    "report": ("guavacleat.commands.report", "lost worth of a run by cause, from logs"),
+    "standin": ("guavacleat.commands.standin", "stand-ins: `standin engine|store|services|routed`"),
+    "load": (
+        "guavacleat.commands.load",
+        "simulate traffic on stand-in engines and compare policies",
+    ),
+    "demo": ("guavacleat.commands.demo", "end-to-end demonstration on loopback"),
 }
 
 USAGE = "usage: guavacleat COMMAND [--flags]   (guavacleat COMMAND --help for its flags)\n"
--- a/src/guavacleat/commands/ctl.py
+++ b/src/guavacleat/commands/ctl.py
@@ -1,8 +1,8 @@
-"""The operators' command line.
+"""The operators' commands.
 
-- ``guavacleat ctl apply FILE``: apply a settings file whole.
+- ``guavacleat ctl apply FILE``: apply a settings file as a whole.
 - ``guavacleat ctl status``: configuration versions and endpoints.
-- ``guavacleat ctl order ENDPOINT model|adapter|version|role TARGET``: order an engine.
+- ``guavacleat ctl order ENDPOINT model|adapter|version|role TARGET``: send an order to an engine.
 """
 
 import sys
@@ -19,7 +19,7 @@
 
 flags.declare_key_flag("store")
 flags.DEFINE_string(
-    "base_version", None, "apply: the version this file was based on (default: the current one)."
+    "base_version", None, "apply: the version this file is based on (default: the current one)."
 )
 
 USAGE = (
@@ -35,8 +35,8 @@
         return Revision.parse(FLAGS.base_version)
     except ValueError:
         raise SettingsError(
-            f"--base_version={FLAGS.base_version} is no version.",
-            "write it as `guavacleat ctl status` does, like 4 or 1.4.",
+            f"--base_version={FLAGS.base_version} is not a version.",
+            "use the format of `guavacleat ctl status`, such as 4 or 1.4.",
         ) from None
 
 
@@ -56,16 +56,16 @@
 def _order(reactor, endpoint: str, kind: str, target: str):
     store = StoreClient(FLAGS.store)
     fencing = yield send_order(reactor, store, SidecarPool(reactor), endpoint, kind, target)
-    print(f"{endpoint} took order {fencing}: {kind} {target}")
+    print(f"{endpoint} accepted order {fencing}: {kind} {target}")
 
 
-def _report(failure):
+def _exit_with_error(failure):
     failure.trap(GuavacleatError)
     sys.stderr.write(f"guavacleat ctl: {failure.value}\n")
     raise SystemExit(1)
 
 
-# Commands by name, with the number of arguments each takes.
+# Each command's function and its number of arguments.
 COMMANDS_BY_NAME = {"apply": (_apply, 1), "status": (_status, 0), "order": (_order, 3)}
 
 
@@ -74,4 +74,4 @@
     command, count = COMMANDS_BY_NAME.get(name, (None, 0))
     if command is None or len(arguments) != count:
         sys.exit(USAGE)
-    task.react(lambda reactor: command(reactor, *arguments).addErrback(_report))
+    task.react(lambda reactor: command(reactor, *arguments).addErrback(_exit_with_error))
--- a/src/guavacleat/commands/demo.py
+++ b/src/guavacleat/commands/demo.py
@@ -1,13 +1,11 @@
-"""``guavacleat demo``: the main job on embedded defaults, all on loopback, then exits.
+"""``guavacleat demo``: an end-to-end demonstration on loopback with built-in settings.
 
 Starts the object API stand-in, two stand-in engines and a plain service with their sidecars, and
 a gateway in one process; applies the Nile Directory Exchange example settings; streams
-generations for several client accounts and classes; retries one non-repeatable call to show it
-runs once; prints what each caller received and the gateway's latency summary. Then sends plain
-HTTP requests through an ingress that reads the example routes file.
-
-The retried connection record gets the first attempt's kept answer replayed; the service runs it
-once.
+generations for several client accounts and priority classes; prints what each caller received
+and the gateway's latency summary. A retry of a non-repeatable call gets the stored answer, and
+the service runs the call once. Then sends plain HTTP requests through an ingress that reads the
+example routes file.
 """
 
 import itertools
@@ -23,7 +21,7 @@
 
 FLAGS = flags.FLAGS
 flags.DEFINE_integer("requests", 12, "Generations to stream through the gateway.")
-flags.DEFINE_integer("max_tokens", 64, "Cap on each generation's length.")
+flags.DEFINE_integer("max_tokens", 64, "Maximum length of each generation.")
 
 ENDPOINTS = {
     "enquiry-lm-1": "enquiry-lm",
@@ -37,7 +35,7 @@
     ("switchboard.example", "/connect/0223456789", "unknown-key"),
     ("switchboard.example", "/nowhere/", "key-delta-tel"),
 )
-ROUTED_TIMEOUT = 5.0
+ROUTED_TIMEOUT_SECONDS = 5.0
 CLASSES = ("interactive", "standard", "batch")
 
 
@@ -47,13 +45,15 @@
     yield system.start()
     url = system.completions_url()
     print(f"gateway at {url}; configuration version {system.gateway.config.version}")
-    shapes = list(zip(range(FLAGS.requests), itertools.cycle(ACCOUNTS), itertools.cycle(CLASSES)))
+    parameters = list(
+        zip(range(FLAGS.requests), itertools.cycle(ACCOUNTS), itertools.cycle(CLASSES))
+    )
     calls = [
         stream_completion(reactor, url, _body("enquiry-lm", account, klass, f"listing {n}"))
-        for n, account, klass in shapes
+        for n, account, klass in parameters
     ]
     results = yield defer.gatherResults(calls)
-    for (n, account, klass), result in zip(shapes, results, strict=True):
+    for (n, account, klass), result in zip(parameters, results, strict=True):
         ordered = result.indices == list(range(len(result.indices)))
         preview = " ".join(result.texts[:6])
         print(
@@ -62,11 +62,11 @@
         )
     body = _body("switchboard", "carrier-nile-net", "interactive", "connect 0223456789")
     first = yield stream_completion(reactor, url, body, idempotency_key="conn-0223456789-1")
-    again = yield stream_completion(reactor, url, body, idempotency_key="conn-0223456789-1")
+    retry = yield stream_completion(reactor, url, body, idempotency_key="conn-0223456789-1")
     runs = system.plain_services_by_name["switchboard-1"].runs_by_body["connect 0223456789"]
     print(
         f"connection record: first {first.status} ({len(first.texts)} tokens), retry"
-        f" {again.status}, same answer={again.texts == first.texts}, runs on the service={runs}"
+        f" {retry.status}, same answer={retry.texts == first.texts}, runs on the service={runs}"
     )
     print("latency (seconds), per account and class:")
     for row in system.gateway.metrics.latencies.summary():
@@ -80,13 +80,15 @@
 
 @defer.inlineCallbacks
 def _routes_demo(reactor):
-    """Plain HTTP routes through an ingress with a routes file, against two stand-in endpoints."""
+    """Send plain HTTP requests through an ingress with a routes file and two stand-in endpoints."""
     routes = LocalRoutes(reactor, EXAMPLES / "routes.json5")
     routes.start()
     print(f"ingress at {routes.url}")
     for host, path, key in ROUTED_REQUESTS:
         headers = {"Host": host, "X-Request-Id": path, "X-Api-Key": key}
-        response = yield treq.post(routes.url + path, headers=headers, timeout=ROUTED_TIMEOUT)
+        response = yield treq.post(
+            routes.url + path, headers=headers, timeout=ROUTED_TIMEOUT_SECONDS
+        )
         body = yield response.content()
         print(f"  {host}{path} key={key}: {response.code} {body[:24]!r}")
     yield routes.stop()
--- a/src/guavacleat/commands/gateway.py
+++ b/src/guavacleat/commands/gateway.py
@@ -1,7 +1,7 @@
 """``guavacleat gateway``: the entry daemon.
 
-With --routes=FILE it serves plain HTTP routes too, at --routes_listen, see examples/routes.json5;
-SIGHUP reads that file again.
+With --routes=FILE it also serves plain HTTP routes at --routes_listen, see examples/routes.json5;
+SIGHUP reloads that file.
 """
 
 import sys
@@ -18,15 +18,17 @@
 
 flags.declare_key_flag("listen")
 flags.declare_key_flag("store")
-flags.DEFINE_string("deployment", None, "Name of the deployment whose configuration to follow.")
+flags.DEFINE_string("deployment", None, "Name of the deployment whose configuration to use.")
 
 flags.declare_key_flag("routes")
 flags.declare_key_flag("ready_listen")
-flags.DEFINE_string("routes_listen", "127.0.0.1:0", "With --routes: host:port to serve them on.")
+flags.DEFINE_string(
+    "routes_listen", "127.0.0.1:0", "With --routes: host:port to serve the routes on."
+)
 flags.DEFINE_float(
     "stop_grace",
     STOP_GRACE_SECONDS,
-    "Seconds a planned stop waits for running streams at most.",
+    "Maximum seconds that a graceful stop waits for running streams.",
     lower_bound=0.0,
 )
 
@@ -47,7 +49,7 @@
 
 
 def _serve_routes() -> None:
-    """Serve the routes file beside the gateway, in the same process."""
+    """Serve the routes file in the gateway's process."""
     try:
         service, reload = routes_service(FLAGS.routes_listen, "routes_listen")
     except SettingsError as exc:
--- a/src/guavacleat/commands/ingress.py
+++ b/src/guavacleat/commands/ingress.py
@@ -1,9 +1,9 @@
 """``guavacleat ingress``: the gateway in front of HTTP routes.
 
-On the users' platform it reads the settings file that the platform names and follows the operators'
-configuration and the endpoints' entries in the store. With --routes=FILE it needs no platform:
+On the platform it reads the settings file that the platform names, and watches the operators'
+configuration and the endpoints' records in the store. With --routes=FILE it needs no platform:
 routes and endpoints come from a file, see examples/routes.json5. SIGTERM stops it gracefully;
-SIGHUP reads the settings or the routes again.
+SIGHUP reloads the settings or the routes.
 """
 
 import sys
@@ -20,7 +20,7 @@
 from guavacleat.platform.adapter import PlatformAdapter
 from guavacleat.platform.settings import load_process_settings, settings_path
 
-flags.DEFINE_string("settings", None, "Settings file; by default the one that the platform names.")
+flags.DEFINE_string("settings", None, "Settings file; default: the one that the platform names.")
 flags.DEFINE_integer("metrics_port", 9464, "Port of /metrics on the instance's address; 0: none.")
 flags.DEFINE_bool("check", False, "Check the settings or routes file and exit.")
 flags.declare_key_flag("listen")
@@ -50,7 +50,7 @@
 
 
 def _on_platform():
-    """Return the service on the platform, and what reads its settings again."""
+    """Return the service on the platform, and a function that reloads its settings."""
     path = FLAGS.settings or settings_path()
     settings = load_process_settings(path)
     adapter = PlatformAdapter()
--- a/src/guavacleat/commands/load.py
+++ b/src/guavacleat/commands/load.py
@@ -1,8 +1,8 @@
-"""``guavacleat load``: drive the stand-ins with a deployment's kind of traffic and report.
+"""``guavacleat load``: simulate a deployment's traffic on stand-in engines and compare policies.
 
-Every policy plays the same seeded requests on a virtual clock, so a run is exact and repeatable
-and takes no real waiting. Prints a table per policy and class (per account with --accounts), the
-ratios to the best baseline, and saves the figures and plots with --out.
+Every policy gets the same seeded requests on a virtual clock, so runs are reproducible. Prints a
+table per policy and priority class (per account with --accounts) and the ratios to the best
+baseline; --out saves the figures and plots.
 """
 
 import sys
@@ -18,23 +18,25 @@
 from guavacleat.sidecar.occupancy import HEADROOM
 
 FLAGS = flags.FLAGS
-flags.DEFINE_enum("workload", "nile", sorted(WORKLOADS_BY_NAME), "Whose traffic to play.")
-flags.DEFINE_list("policies", ["guavacleat", "least-loaded", "round-robin"], "Policies to play.")
-flags.DEFINE_float("seconds", 60.0, "Length of the traffic, in virtual seconds.", lower_bound=1.0)
-flags.DEFINE_float("load", 1.5, "Factor on all request rates.", lower_bound=0.01)
-flags.DEFINE_integer("seed", 1, "Seed of the traffic.")
-flags.DEFINE_integer("gateways", 3, "Gateways the callers are spread over.", lower_bound=1)
-flags.DEFINE_float("max_wait", 10.0, "Seconds a request may wait before it is refused.")
+flags.DEFINE_enum(
+    "workload", "nile", sorted(WORKLOADS_BY_NAME), "Deployment whose traffic to simulate."
+)
+flags.DEFINE_list("policies", ["guavacleat", "least-loaded", "round-robin"], "Policies to compare.")
+flags.DEFINE_float("seconds", 60.0, "Duration of the traffic, in virtual seconds.", lower_bound=1.0)
+flags.DEFINE_float("load", 1.5, "Multiplier of all request rates.", lower_bound=0.01)
+flags.DEFINE_integer("seed", 1, "Random seed of the traffic.")
+flags.DEFINE_integer("gateways", 3, "Number of gateways that share the callers.", lower_bound=1)
+flags.DEFINE_float("max_wait", 10.0, "Seconds after which a queued request is refused.")
 flags.DEFINE_float(
     "keep_free",
     HEADROOM,
-    "Share of engine memory guavacleat's sidecars keep free.",
+    "Share of engine memory that guavacleat's sidecars keep free.",
     lower_bound=0.0,
 )
-flags.DEFINE_bool("accounts", False, "Print a row per client account as well.")
+flags.DEFINE_bool("accounts", False, "Also print a row per client account.")
 flags.DEFINE_string("out", None, "Folder to save the figures (JSON) and plots (PNG) to.")
 
-OWN = "guavacleat"
+OWN_POLICY = "guavacleat"
 
 
 def main(argv):
@@ -46,16 +48,16 @@
         sys.exit(f"--policies names unknown {sorted(unknown)}. Remedy: use some of {names}.")
     workload = WORKLOADS_BY_NAME[FLAGS.workload]
     requests = arrivals(workload, FLAGS.seconds, FLAGS.seed, FLAGS.load)
-    reports = [_play(name, workload, requests) for name in FLAGS.policies]
+    reports = [_run(name, workload, requests) for name in FLAGS.policies]
     print("\n".join(table(reports, FLAGS.accounts)))
     print("\n".join(_ratios(reports)))
-    broken = [violation for report in reports for violation in report.violations]
-    print(f"promises broken: {broken or 'none'}")
+    all_violations = [violation for report in reports for violation in report.violations]
+    print(f"violations: {all_violations or 'none'}")
     if FLAGS.out:
         _save(reports)
 
 
-def _play(name: str, workload, requests) -> Report:
+def _run(name: str, workload, requests) -> Report:
     policy = POLICIES_BY_NAME[name]
     policy.headroom = FLAGS.keep_free
     with tqdm(total=round(FLAGS.seconds), desc=name, unit="s", leave=False) as bar:
@@ -72,9 +74,9 @@
 
 
 def _ratios(reports: list[Report]) -> list[str]:
-    """Our figures over the best baseline's, where both were played."""
-    own = [report for report in reports if report.policy == OWN]
-    others = [report.total() for report in reports if report.policy != OWN]
+    """Ratios of guavacleat's figures to the best baseline's, if both were run."""
+    own = [report for report in reports if report.policy == OWN_POLICY]
+    others = [report.total() for report in reports if report.policy != OWN_POLICY]
     if not own or not others:
         return []
     total = own[0].total()
--- a/src/guavacleat/commands/routes.py
+++ b/src/guavacleat/commands/routes.py
@@ -1,4 +1,4 @@
-"""Serving HTTP routes from a file, shared by the commands that can."""
+"""Serves HTTP routes from a file; shared by several commands."""
 
 import signal
 
@@ -15,18 +15,20 @@
 
 __all__ = ["reload_on_hangup", "routes_service"]
 
-flags.DEFINE_string("routes", None, "Routes file (JSON with comments), in place of a platform.")
+flags.DEFINE_string("routes", None, "Routes file (JSON with comments), instead of a platform.")
 flags.DEFINE_string("ready_listen", "127.0.0.1:0", "With --routes: host:port of /ready, /metrics.")
 
 READINESS_PATH = "/ready"
 
 
 def routes_service(listen: str, flag: str):
-    """Return the service for --routes at ``host:port``, and what reads the file again.
+    """Return the service for --routes, and a function that reloads the file.
 
-    ``flag`` names where ``listen`` comes from, for its error. Raises SettingsError.
+    :param listen: ``host:port`` to listen on.
+    :param flag: the name of the flag that gave ``listen``, for its error message.
+    :raises SettingsError: if the file is invalid.
     """
-    # Imported here: a process on the platform needs no parser of JSON with comments.
+    # Imported lazily: the JSON5 parser is needed with --routes only.
     from guavacleat.routes.loader import load_routes
 
     load_routes(FLAGS.routes)
@@ -44,12 +46,12 @@
 
 
 def reload_on_hangup(service: IngressService, reload) -> None:
-    """On SIGHUP call ``reload``; settings that cannot be used are refused, with a log line."""
+    """On SIGHUP call ``reload``; invalid settings are rejected with a log line."""
 
-    def read_again():
+    def reload_or_refuse():
         try:
             reload()
         except SettingsError as exc:
             service.settings_refused(exc)
 
-    signal.signal(signal.SIGHUP, lambda *_: reactor.callFromThread(read_again))
+    signal.signal(signal.SIGHUP, lambda *_: reactor.callFromThread(reload_or_refuse))
--- a/src/guavacleat/commands/sidecar.py
+++ b/src/guavacleat/commands/sidecar.py
@@ -1,4 +1,4 @@
-"""``guavacleat sidecar``: the process beside one endpoint."""
+"""``guavacleat sidecar``: the process next to one endpoint."""
 
 import sys
 
@@ -14,26 +14,26 @@
 flags.declare_key_flag("name")
 flags.declare_key_flag("listen")
 flags.declare_key_flag("store")
-flags.DEFINE_string("service", None, "The service this endpoint belongs to.")
-flags.DEFINE_string("data_centre", "local", "The data centre this endpoint runs in.")
-flags.DEFINE_string("instance", "", "The platform's name for this instance, as in its list.")
+flags.DEFINE_string("service", None, "Name of the service that this endpoint belongs to.")
+flags.DEFINE_string("data_centre", "local", "The data centre that this endpoint runs in.")
+flags.DEFINE_string("instance", "", "The platform's name of this instance.")
 flags.DEFINE_float(
     "headroom",
     HEADROOM,
-    "Share of the engine's memory kept free for outputs longer than expected.",
+    "Share of the engine's memory to keep free for outputs longer than expected.",
     lower_bound=0.0,
     upper_bound=0.9,
 )
 flags.DEFINE_string(
-    "engine", "http://127.0.0.1:8000", "URL of the engine or plain service beside this sidecar."
+    "engine", "http://127.0.0.1:8000", "URL of the engine or plain service behind this sidecar."
 )
-flags.DEFINE_enum("kind", "engine", sorted(CLIENTS_BY_KIND), "What stands beside this sidecar.")
+flags.DEFINE_enum("kind", "engine", sorted(CLIENTS_BY_KIND), "What is behind this sidecar.")
 
 
 def main(argv):
     del argv
     if not FLAGS.name or not FLAGS.service:
-        sys.exit("--name and --service are required. Remedy: give the endpoint's names.")
+        sys.exit("--name and --service are required. Remedy: pass both flags.")
     start_logging()
     sidecar = SidecarService(
         reactor,
--- a/src/guavacleat/commands/standin.py
+++ b/src/guavacleat/commands/standin.py
@@ -1,4 +1,4 @@
-"""``guavacleat standin engine|store|services|routed``: stand-ins, for tests and the demo."""
+"""``guavacleat standin engine|store|services|routed``: stand-ins for tests and demos."""
 
 import sys
 
@@ -19,26 +19,28 @@
 flags.declare_key_flag("listen")
 flags.declare_key_flag("name")
 flags.DEFINE_float("step_ms", 10.0, "Engine: milliseconds per decode step.")
-flags.DEFINE_integer("max_batch", 16, "Engine: sequences decoded together.")
-flags.DEFINE_integer("kv_capacity", 8192, "Engine: key-value memory, in tokens.")
-flags.DEFINE_enum("fencing", "refuse", ["refuse", "ignore"], "Engine: stale orders refused?")
-flags.DEFINE_integer("output_length", None, "Engine: fix every output's length (benchmarks).")
+flags.DEFINE_integer("max_batch", 16, "Engine: maximum sequences in a batch.")
+flags.DEFINE_integer("kv_capacity", 8192, "Engine: KV cache capacity in tokens.")
+flags.DEFINE_enum(
+    "fencing", "refuse", ["refuse", "ignore"], "Engine: what it does with stale orders."
+)
+flags.DEFINE_integer("output_length", None, "Engine: fixed length of every output, for benchmarks.")
 
-flags.DEFINE_float("work_ms", 20.0, "Services: milliseconds a call takes.")
+flags.DEFINE_float("work_ms", 20.0, "Services: milliseconds per call.")
 
 flags.DEFINE_enum(
-    "fault", "none", [fault.value for fault in EndpointFault], "Routed: what it does wrong."
+    "fault", "none", [fault.value for fault in EndpointFault], "Routed: the fault to simulate."
 )
-flags.DEFINE_float("restart_seconds", 1.0, "Routed: time until it is back after a crash.")
+flags.DEFINE_float("restart_seconds", 1.0, "Routed: seconds until it restarts after a crash.")
 flags.DEFINE_float(
-    "restore_every", None, "Store: seconds after which it comes back from a copy half as old."
+    "restore_every", None, "Store: seconds between restores; each from a copy half that old."
 )
 
 KINDS = ("engine", "store", "services", "routed")
 
 
 def build(kind: str, listen) -> HttpListener:
-    """The HTTP service of stand-in ``kind``."""
+    """Return the HTTP service of stand-in ``kind``."""
     if kind == "store":
         state = StoreState(reactor)
         if FLAGS.restore_every is not None:
--- a/tests/test_cmdline.py
+++ b/tests/test_cmdline.py
@@ -1,4 +1,4 @@
-"""The command registry: every command imports and has a main; unknown commands list the rest."""
+"""The command registry: every command has a main; an unknown one prints the list of commands."""
 
 import pytest
 
