--- a/tests/e2e/conftest.py
+++ b/tests/e2e/conftest.py
@@ -1,4 +1,4 @@
-"""Processes of one test: each is stopped at its end, and must stop gracefully."""
+"""Fixture that starts processes and requires each to stop gracefully at the end of the test."""
 
 import pytest
 
@@ -7,14 +7,14 @@
 
 @pytest.fixture
 def start():
-    """Start ``guavacleat`` with the given arguments; returns the :class:`Daemon`."""
+    """A function that runs ``guavacleat`` with its arguments and returns the :class:`Daemon`."""
     started = []
 
-    def start_one(*args):
+    def start_daemon(*args):
         daemon = Daemon(*args)
         started.append(daemon)
         return daemon
 
-    yield start_one
+    yield start_daemon
     codes = [daemon.stop() for daemon in reversed(started) if not daemon.killed]
-    assert codes == [0] * len(codes), "a planned stop must be graceful"
+    assert codes == [0] * len(codes), "SIGTERM must stop a process gracefully"
--- a/tests/e2e/platform_standins.py
+++ b/tests/e2e/platform_standins.py
@@ -1,11 +1,11 @@
-"""The platform's store and its engines over real sockets, for the ingress as a process."""
+"""Stand-ins of the platform's store and engines on loopback sockets, for end-to-end tests."""
 
 import json
 import threading
 from http.server import BaseHTTPRequestHandler, ThreadingHTTPServer
 from urllib.parse import parse_qs, urlsplit
 
-WATCH_SECONDS = 0.2
+WATCH_TIMEOUT_SECONDS = 0.2
 
 
 class Server:
@@ -36,19 +36,19 @@
             self.objects[kind, name] = {"metadata": metadata, "spec": spec}
             self.changed.notify_all()
 
-    def of_kind(self, kind, since=0):
+    def list_objects(self, kind, since=0):
         return [
-            found
-            for (of, _), found in sorted(self.objects.items())
-            if of == kind and found["metadata"]["revision"] > since
+            stored
+            for (stored_kind, _), stored in sorted(self.objects.items())
+            if stored_kind == kind and stored["metadata"]["revision"] > since
         ]
 
 
-class Quiet(BaseHTTPRequestHandler):
+class QuietHandler(BaseHTTPRequestHandler):
     protocol_version = "HTTP/1.1"
 
     def log_message(self, *args):
-        """Say nothing."""
+        """Disable the request log."""
 
     def reply(self, code, body, headers=()):
         data = body if isinstance(body, bytes) else json.dumps(body).encode()
@@ -59,47 +59,49 @@
         self.end_headers()
         self.wfile.write(data)
 
-    def body(self):
+    def read_body(self):
         return self.rfile.read(int(self.headers.get("Content-Length", 0)))
 
 
-class StoreHandler(Quiet):
+class StoreHandler(QuietHandler):
     def do_GET(self):  # noqa: N802 - the library's name
         state = self.server.state
         parts = urlsplit(self.path)
         query = parse_qs(parts.query)
         kind = parts.path.split("/")[3]
         if "watch" not in query:
-            self.reply(200, {"items": state.of_kind(kind), "storeRevision": state.revision})
+            self.reply(200, {"items": state.list_objects(kind), "storeRevision": state.revision})
             return
         since = int(query["watch"][0])
         with state.changed:
-            state.changed.wait_for(lambda: state.of_kind(kind, since), WATCH_SECONDS)
-            events = [{"object": found, "tombstone": False} for found in state.of_kind(kind, since)]
+            state.changed.wait_for(lambda: state.list_objects(kind, since), WATCH_TIMEOUT_SECONDS)
+            events = [
+                {"object": stored, "tombstone": False} for stored in state.list_objects(kind, since)
+            ]
             self.reply(200, {"events": events, "storeRevision": state.revision})
 
     def do_POST(self):  # noqa: N802 - the library's name
-        body = json.loads(self.body())
+        body = json.loads(self.read_body())
         kind, name = self.path.split("/")[3], body["metadata"]["name"]
         self.server.state.write(kind, name, body["spec"])
         self.reply(200, self.server.state.objects[kind, name])
 
 
 class EngineState:
-    """What an engine was asked; ``delay`` holds each event of a stream."""
+    """An engine's received requests; clearing ``release`` blocks the events of its streams."""
 
     def __init__(self, delay=0.0):
-        self.asked = []
+        self.requests = []
         self.delay = delay
         self.release = threading.Event()
         self.release.set()
 
 
-class EngineHandler(Quiet):
+class EngineHandler(QuietHandler):
     def do_POST(self):  # noqa: N802 - the library's name
         state = self.server.state
-        body = self.body()
-        state.asked.append((self.path, dict(self.headers), body))
+        body = self.read_body()
+        state.requests.append((self.path, dict(self.headers), body))
         seal = [("Attempt-Id", self.headers["Attempt-Id"]), ("Response-Seal", "s")]
         if self.path.startswith("/plain/"):
             self.reply(200, b"echo:" + body, seal)
--- a/tests/e2e/processes.py
+++ b/tests/e2e/processes.py
@@ -1,4 +1,4 @@
-"""Starting the system's parts as processes on loopback, and calling them as clients do."""
+"""Helpers that start the system's processes on loopback and send them requests."""
 
 import http.client
 import json
@@ -11,13 +11,13 @@
 import guavacleat
 
 NILE = Path(guavacleat.__file__).parent / "examples" / "nile.json5"
-START_TIMEOUT = 20.0
-STOP_TIMEOUT = 40.0
-LONG = 200
+START_TIMEOUT_SECONDS = 20.0
+STOP_TIMEOUT_SECONDS = 40.0
+LONG_OUTPUT_TOKENS = 200
 
 
 class Daemon:
-    """One started process and the address it printed on its ready line."""
+    """A started process, with the address from its ready line."""
 
     def __init__(self, *args: str):
         self.process = subprocess.Popen(
@@ -34,17 +34,17 @@
     def stop(self) -> int:
         if self.process.poll() is None:
             self.process.send_signal(signal.SIGTERM)
-        return self.process.wait(timeout=STOP_TIMEOUT)
+        return self.process.wait(timeout=STOP_TIMEOUT_SECONDS)
 
     def kill(self) -> None:
         self.killed = True
         self.process.kill()
-        self.process.wait(timeout=STOP_TIMEOUT)
+        self.process.wait(timeout=STOP_TIMEOUT_SECONDS)
 
 
 def get_text(address: str, path: str) -> str:
     host, port = address.removeprefix("http://").split(":")
-    connection = http.client.HTTPConnection(host, int(port), timeout=START_TIMEOUT)
+    connection = http.client.HTTPConnection(host, int(port), timeout=START_TIMEOUT_SECONDS)
     connection.request("GET", path)
     return connection.getresponse().read().decode()
 
@@ -53,8 +53,8 @@
     return json.loads(get_text(address, path))
 
 
-def wait_routable(address: str, endpoints: int = 2) -> None:
-    deadline = time.monotonic() + START_TIMEOUT
+def wait_until_routable(address: str, endpoints: int = 2) -> None:
+    deadline = time.monotonic() + START_TIMEOUT_SECONDS
     while time.monotonic() < deadline:
         status = get_json(address, "/status")
         if status["config_version"] >= 1 and len(status["endpoints"]) == endpoints:
@@ -65,7 +65,7 @@
 
 def complete(address: str, body: dict) -> list[dict]:
     host, port = address.removeprefix("http://").split(":")
-    connection = http.client.HTTPConnection(host, int(port), timeout=START_TIMEOUT)
+    connection = http.client.HTTPConnection(host, int(port), timeout=START_TIMEOUT_SECONDS)
     connection.request("POST", "/v1/completions", json.dumps(body), {"content-type": "text/json"})
     response = connection.getresponse()
     assert response.status == 200, response.read()
@@ -76,14 +76,14 @@
 
 def open_stream(address: str, body: dict):
     host, port = address.removeprefix("http://").split(":")
-    connection = http.client.HTTPConnection(host, int(port), timeout=START_TIMEOUT)
+    connection = http.client.HTTPConnection(host, int(port), timeout=START_TIMEOUT_SECONDS)
     connection.request("POST", "/v1/completions", json.dumps(body), {"content-type": "text/json"})
     response = connection.getresponse()
     assert response.status == 200, response.read()
     return response
 
 
-def events_of(response):
+def read_events(response):
     """Yield each SSE event's JSON as it arrives."""
     for line in response:
         line = line.decode().strip()
@@ -92,18 +92,21 @@
 
 
 def apply_nile(store: Daemon) -> None:
-    """Apply the Nile example settings with the operators' command line."""
+    """Apply the Nile example settings with ``guavacleat ctl``."""
     command = [sys.executable, "-m", "guavacleat", "ctl", f"--store={store.address}"]
     applied = subprocess.run(
-        [*command, "apply", str(NILE)], capture_output=True, text=True, timeout=START_TIMEOUT
+        [*command, "apply", str(NILE)],
+        capture_output=True,
+        text=True,
+        timeout=START_TIMEOUT_SECONDS,
     )
     assert applied.returncode == 0, applied.stderr
 
 
 def post(address: str, path: str, body: dict, key: str | None = None):
-    """POST ``body``; return the status, the headers and the answer's text."""
+    """POST ``body``; return the status, the headers and the body's text."""
     host, port = address.removeprefix("http://").split(":")
-    connection = http.client.HTTPConnection(host, int(port), timeout=START_TIMEOUT)
+    connection = http.client.HTTPConnection(host, int(port), timeout=START_TIMEOUT_SECONDS)
     headers = {"idempotency-key": key} if key else {}
     connection.request("POST", path, json.dumps(body), headers)
     response = connection.getresponse()
--- a/tests/e2e/test_routes_file.py
+++ b/tests/e2e/test_routes_file.py
@@ -1,4 +1,4 @@
-"""The ingress with a routes file, as processes, against endpoints with faults over real sockets."""
+"""The ingress with a routes file, as a process, against endpoint processes that inject faults."""
 
 import http.client
 import signal
@@ -13,14 +13,14 @@
 from guavacleat.standin.routed import CRASH_BODY
 from tests.e2e.processes import Daemon
 
-START_SECONDS = 20.0
-STOP_SECONDS = 10.0
+START_TIMEOUT_SECONDS = 20.0
+STOP_TIMEOUT_SECONDS = 10.0
 
 
 def free_port():
-    with socket.socket() as found:
-        found.bind(("127.0.0.1", 0))
-        return found.getsockname()[1]
+    with socket.socket() as listener:
+        listener.bind(("127.0.0.1", 0))
+        return listener.getsockname()[1]
 
 
 def routes(addresses):
@@ -51,7 +51,7 @@
 
 
 class System:
-    """An ingress before one endpoint for each fault given."""
+    """An ingress with one endpoint per given fault."""
 
     def __init__(self, tmp_path, faults, command=("ingress", "--listen")):
         self.endpoints = [
@@ -71,18 +71,18 @@
         self._wait_ready()
 
     def _wait_ready(self):
-        deadline = time.monotonic() + START_SECONDS
+        deadline = time.monotonic() + START_TIMEOUT_SECONDS
         while True:
             try:
-                if self.ask("/ready", port=self.ready_port)[0] == 200:
+                if self.request("/ready", port=self.ready_port)[0] == 200:
                     return
             except OSError:
                 pass
             assert time.monotonic() < deadline, "the ingress is not ready in time"
             time.sleep(0.05)
 
-    def ask(self, path, port=None, body=b"", id=None):
-        """Return status and body; the body is None if the answer broke off."""
+    def request(self, path, port=None, body=b"", id=None):
+        """Return status and body; the body is None if the response was truncated."""
         connection = http.client.HTTPConnection("127.0.0.1", port or self.port, timeout=5)
         connection.request("POST", path, body, {"Host": "h.example", "X-Request-Id": id or path})
         response = connection.getresponse()
@@ -93,7 +93,7 @@
 
     def close(self):
         self.ingress.send_signal(signal.SIGTERM)
-        self.ingress.wait(timeout=STOP_SECONDS)
+        self.ingress.wait(timeout=STOP_TIMEOUT_SECONDS)
         for endpoint in self.endpoints:
             endpoint.kill()
 
@@ -102,17 +102,17 @@
 def start(tmp_path):
     started = []
 
-    def begin(*faults, **options):
+    def start_system(*faults, **options):
         started.append(System(tmp_path, faults, **options))
         return started[-1]
 
-    yield begin
+    yield start_system
     for system in started:
         system.close()
 
 
 FAULTS = [
-    # (what the only endpoint does, status of a record, status of a page)
+    # (fault of the only endpoint, status of a record, status of a page)
     ("refuse", 503, 503),
     ("other-incarnation", 503, 503),
     ("reset", 502, 502),
@@ -124,49 +124,46 @@
 
 
 @pytest.mark.parametrize("fault,record,page", FAULTS)
-def test_every_fault_has_its_honest_status(start, fault, record, page):
-    """
-    Symptom: a caller repeats a record that has run, or takes a broken answer for its own.
-    Sequence: the only endpoint does what the table says.
-    Cause: 503 may be said only of what has not run; nothing broken may look like a success.
-    """
+def test_each_fault_has_the_correct_status(start, fault, record, page):
+    """Guards against a 503 for a request that may have run, and a 200 for an invalid answer."""
     system = start(fault)
-    assert system.ask("/record/1")[0] == record
-    assert system.ask("/page/1")[0] == page
+    assert system.request("/record/1")[0] == record
+    assert system.request("/page/1")[0] == page
 
 
-def test_pages_get_round_a_broken_endpoint_and_answers_stay_with_their_requests(start):
+def test_idempotent_requests_are_retried_elsewhere_and_answers_match_requests(start):
     system = start("none", "extra")
-    answers = [system.ask(f"/page/{number}") for number in range(20)]
+    answers = [system.request(f"/page/{number}") for number in range(20)]
     assert set(answers) <= {(200, b"done by e0"), (200, b"done by e1")}
     system = start("none", "truncate")
-    answers = [system.ask(f"/page/{number}") for number in range(20)]
+    answers = [system.request(f"/page/{number}") for number in range(20)]
     assert set(answers) == {(200, b"done by e0")}
 
 
-def test_a_stream_is_whole_or_does_not_look_whole(start):
+def test_stream_is_complete_or_visibly_truncated(start):
     whole = start("none")
-    status, body = whole.ask("/listing/1")
+    status, body = whole.request("/listing/1")
     assert status == 200 and body.count(b"data: token") == 5
     cut = start("truncate")
-    assert cut.ask("/listing/1") == (200, None)
+    assert cut.request("/listing/1") == (200, None)
 
 
 @pytest.mark.parametrize("kind", ["page", "record", "listing"])
-def test_a_request_that_crashes_endpoints_is_refused_and_others_are_served(start, kind):
-    """Guards against one request, under ever new ids, that ends endpoint after endpoint."""
+def test_request_that_crashes_endpoints_is_refused_and_others_are_served(start, kind):
+    """Guards against one request, sent under new ids, that crashes endpoint after endpoint."""
     system = start(*["none"] * 6)
     statuses = [
-        system.ask(f"/{kind}/same", body=CRASH_BODY, id=f"crash-{number}")[0] for number in range(8)
+        system.request(f"/{kind}/same", body=CRASH_BODY, id=f"crash-{number}")[0]
+        for number in range(8)
     ]
     assert statuses[-3:] == [503] * 3
     assert statuses.count(502) <= 3
-    answers = [system.ask(f"/page/{number}") for number in range(20)]
+    answers = [system.request(f"/page/{number}") for number in range(20)]
     assert {status for status, _ in answers} == {200}
 
 
-def test_the_gateway_serves_the_routes_file_beside_its_own_interface(start):
+def test_gateway_serves_the_routes_file_in_addition_to_its_own_api(start):
     system = start("none", command=("gateway", "--routes_listen"))
-    assert system.ask("/page/1") == (200, b"done by e0")
-    status, body = system.ask("/listing/1")
+    assert system.request("/page/1") == (200, b"done by e0")
+    status, body = system.request("/listing/1")
     assert status == 200 and body.count(b"data: token") == 5
