--- a/src/guavacleat/http1/__init__.py
+++ b/src/guavacleat/http1/__init__.py
@@ -1,1 +1,1 @@
-"""HTTP/1.1 on Twisted transports, framed by h11: connections of callers and to endpoints."""
+"""HTTP/1.1 server and client on Twisted transports, with h11 as the parser."""
--- a/src/guavacleat/http1/calls.py
+++ b/src/guavacleat/http1/calls.py
@@ -1,4 +1,4 @@
-"""Whole calls over pooled connections: for the store's client and for calls to engines."""
+"""HTTP calls over pooled connections that return a complete response."""
 
 from urllib.parse import urlsplit
 
@@ -9,15 +9,14 @@
 from guavacleat.http1.messages import ResponseHead
 from guavacleat.http1.pool import ConnectionPool
 
-__all__ = ["ResponseTooLargeError", "CallBrokenError", "PooledHttp", "WholeAnswer", "call"]
+__all__ = ["ResponseTooLargeError", "CallBrokenError", "PooledHttp", "Response", "call"]
 
 
 class CallBrokenError(Exception):
-    """A call got no whole answer; it may have taken effect.
+    """A call failed without a complete response; the server may have processed the request.
 
-    :param reason: how it ended.
-    :param received: bytes of the answer's body that had arrived; many tell that the answer was
-        cut off by the call's own time, none that nobody answered.
+    :param reason: why it failed.
+    :param received: bytes of the response body received before the failure.
     """
 
     def __init__(self, reason: str, received: int = 0):
@@ -26,11 +25,11 @@
 
 
 class ResponseTooLargeError(CallBrokenError):
-    """The answer's body was larger than the caller of it wanted; the rest is not read."""
+    """The response body is larger than ``max_body_bytes``; the rest was not read."""
 
 
-class WholeAnswer:
-    """An answer with its body; has treq's ``code`` and ``content()``."""
+class Response:
+    """A complete response; ``code`` and ``content()`` are as in treq."""
 
     __slots__ = ("head", "body")
 
@@ -46,24 +45,24 @@
         return defer.succeed(self.body)
 
     def header(self, name: str) -> str | None:
-        """A header's value by its name in lower case."""
-        found = dict(self.head.headers).get(name.encode())
-        return None if found is None else found.decode("latin-1")
+        """A header's value; ``name`` is in lower case."""
+        value = dict(self.head.headers).get(name.encode())
+        return None if value is None else value.decode("latin-1")
 
 
-class _Collector(ResponseListener):
-    """Gathers an answer; ``on_progress()`` is called as each part of it arrives.
+class _ResponseCollector(ResponseListener):
+    """Buffers a response; ``on_progress()`` is called for each part received.
 
-    :param max_body_bytes: a larger body is not read on: ``give_up()`` is called. None is no bound.
+    :param max_body_bytes: size of the body above which ``abandon()`` is called; None for no limit.
     """
 
-    def __init__(self, max_body_bytes: int | None, give_up):
+    def __init__(self, max_body_bytes: int | None, abandon):
         self.on_progress = lambda: None
         self.max_body_bytes = max_body_bytes
-        self.give_up = give_up
+        self.abandon = abandon
         self.done = defer.Deferred()
         self.head = None
-        self.pieces: list[bytes] = []
+        self.chunks: list[bytes] = []
         self.received = 0
         self.too_large = False
 
@@ -73,7 +72,7 @@
         self._check_size(head.content_length or 0)
 
     def response_data_received(self, data):
-        self.pieces.append(data)
+        self.chunks.append(data)
         self.received += len(data)
         self.on_progress()
         self._check_size(self.received)
@@ -81,10 +80,10 @@
     def _check_size(self, size: int) -> None:
         if self.max_body_bytes is not None and size > self.max_body_bytes:
             self.too_large = True
-            self.give_up()
+            self.abandon()
 
     def response_completed(self):
-        self.done.callback(WholeAnswer(self.head, b"".join(self.pieces)))
+        self.done.callback(Response(self.head, b"".join(self.chunks)))
 
     def response_failed(self, reason: ResponseFailure):
         kind = ResponseTooLargeError if self.too_large else CallBrokenError
@@ -103,17 +102,17 @@
     read_timeout: float | None = None,
     max_body_bytes: int | None = None,
 ):
-    """Return the :class:`WholeAnswer`, or raise CallBrokenError.
+    """Return the :class:`Response`, or raise CallBrokenError.
 
-    :param timeout: seconds that the answer may take; with ``read_timeout``, to its beginning.
-    :param read_timeout: longest pause in seconds within the answer, which then takes what it takes.
-    :param max_body_bytes: a larger body is not read on, and raises ResponseTooLargeError.
+    :param timeout: seconds for the complete response; with ``read_timeout``, until its head.
+    :param read_timeout: seconds without received data after which a started response fails.
+    :param max_body_bytes: size of the body above which ResponseTooLargeError is raised.
     """
     try:
         connection = await pool.connect(address)
     except Exception as exc:  # noqa: BLE001 - refused, timed out, unreachable: no connection
         raise CallBrokenError(repr(exc)) from exc
-    collector = _Collector(max_body_bytes, connection.abandon)
+    collector = _ResponseCollector(max_body_bytes, connection.abandon)
     all_headers = [(b"host", format_address(address).encode()), *headers]
     connection.send(method, target, all_headers, body, collector)
     timer = reactor.callLater(timeout, connection.abandon)
@@ -127,11 +126,11 @@
 
 
 class PooledHttp:
-    """What the store's client needs of treq, over this process's own connections.
+    """Pooled HTTP client with the part of treq's interface that the store client uses.
 
-    :param read_timeout: longest pause in seconds within an answer. An answer is never given up
-        while it arrives: asked again it begins with its first byte, so that one which takes longer
-        than any fixed time never ends: on a thin link a large configuration would never be taken.
+    :param read_timeout: seconds without received data after which a response fails. There is no
+        limit on the total time, which would make a large response on a slow link fail on every
+        retry.
     """
 
     def __init__(self, reactor, pool: ConnectionPool, read_timeout: float):
--- a/src/guavacleat/http1/client.py
+++ b/src/guavacleat/http1/client.py
@@ -1,8 +1,8 @@
-"""One connection to an endpoint: one request at a time, its answer told piece by piece.
+"""A client connection to an endpoint, with one request at a time.
 
-The answer goes to a listener with the methods of :class:`ResponseListener`. What cannot belong to
-the request under way (bytes while none waits, a second answer, an answer with another request's
-id) ends the connection: such bytes belong to no request and must never reach a caller.
+The response is passed to a :class:`ResponseListener` as it arrives. Data that does not belong to
+the current request, such as a second response, closes the connection, so that it cannot be
+mistaken for the response to a later request.
 """
 
 import enum
@@ -16,11 +16,11 @@
 
 __all__ = ["ResponseListener", "ResponseFailure", "EndpointConnection"]
 
-MAX_ANSWER_HEAD_BYTES = 32768
+MAX_RESPONSE_HEAD_BYTES = 32768
 
 
 class ResponseFailure(enum.Enum):
-    """Why an exchange ended without a whole answer."""
+    """Why no complete response was received."""
 
     CLOSED = "connection closed"
     RESET = "connection reset"
@@ -29,7 +29,7 @@
 
     @property
     def closed_by_endpoint(self) -> bool:
-        """Whether the endpoint ended the connection, as one that crashes does."""
+        """Whether the endpoint closed or reset the connection, as when it crashes."""
         return self in (ResponseFailure.CLOSED, ResponseFailure.RESET)
 
 
@@ -46,9 +46,9 @@
 
 
 class EndpointConnection(protocol.Protocol):
-    """A connection to one address; ``on_idle(connection)`` hears when it may be used again.
+    """A connection to one address; ``on_idle(connection)`` is called when it can be reused.
 
-    :param requests: requests sent on it so far.
+    :ivar requests: number of requests sent on it.
     """
 
     def __init__(self, on_idle, on_closed):
@@ -65,25 +65,27 @@
         enable_dead_peer_detection(self.transport)
 
     def send(self, method, target, headers, body: bytes, listener: ResponseListener) -> None:
-        """Send one request; ``headers`` hold neither framing nor hop-by-hop headers."""
+        """Send a request; ``headers`` must not include framing or hop-by-hop headers."""
         self.listener = listener
         self.requests += 1
-        self.parser = h11.Connection(h11.CLIENT, max_incomplete_event_size=MAX_ANSWER_HEAD_BYTES)
-        framed = [(name, value) for name, value in headers if name != b"content-length"]
+        self.parser = h11.Connection(h11.CLIENT, max_incomplete_event_size=MAX_RESPONSE_HEAD_BYTES)
+        framed_headers = [(name, value) for name, value in headers if name != b"content-length"]
         if body or method not in (b"GET", b"HEAD", b"DELETE"):
-            framed.append((b"content-length", b"%d" % len(body)))
-        out = self.parser.send(h11.Request(method=method, target=target, headers=framed))
+            framed_headers.append((b"content-length", b"%d" % len(body)))
+        encoded = self.parser.send(
+            h11.Request(method=method, target=target, headers=framed_headers)
+        )
         if body:
-            out += self.parser.send(h11.Data(data=body))
-        out += self.parser.send(h11.EndOfMessage())
-        self.transport.write(out)
+            encoded += self.parser.send(h11.Data(data=body))
+        encoded += self.parser.send(h11.EndOfMessage())
+        self.transport.write(encoded)
 
     def abandon(self) -> None:
-        """Close at once, so that the endpoint stops working on what was asked."""
+        """Close the connection immediately, so that the endpoint stops processing the request."""
         if self.open:
             self.open = False
             self.transport.abortConnection()
-        self._broken(ResponseFailure.ABANDONED)
+        self._fail(ResponseFailure.ABANDONED)
 
     def dataReceived(self, data):  # noqa: N802 - Twisted's name
         if self.listener is None:
@@ -94,18 +96,18 @@
     def connectionLost(self, reason=protocol.connectionDone):  # noqa: N802 - Twisted's name
         self.open = False
         if self.listener is not None and reason.check(ConnectionDone):
-            self._closed()
-        self._broken(ResponseFailure.RESET)
+            self._closed_cleanly()
+        self._fail(ResponseFailure.RESET)
         self.on_closed(self)
 
-    def _closed(self) -> None:
-        """A clean close: it ends an answer that has no length, and breaks off any other."""
+    def _closed_cleanly(self) -> None:
+        """Handle a clean close, which completes a response without a length and fails any other."""
         try:
             self.parser.receive_data(b"")
             self._handle(self.parser.next_event())
         except h11.RemoteProtocolError:
-            pass  # Not enough bytes for a whole answer, as is told next.
-        self._broken(ResponseFailure.CLOSED)
+            pass  # Incomplete response, reported below.
+        self._fail(ResponseFailure.CLOSED)
 
     def _feed(self, data: bytes) -> None:
         try:
@@ -113,10 +115,10 @@
             while self.listener is not None and self._handle(self.parser.next_event()):
                 pass
         except h11.RemoteProtocolError:
-            self._garbled()
+            self._malformed()
 
     def _handle(self, event) -> bool:
-        """Pass one event on; return whether more may follow."""
+        """Handle an h11 event; return whether more events may follow."""
         if event is h11.NEED_DATA or event is h11.PAUSED:
             return False
         if isinstance(event, h11.Response):
@@ -126,13 +128,13 @@
         elif isinstance(event, h11.Data):
             self.listener.response_data_received(bytes(event.data))
         elif isinstance(event, h11.EndOfMessage):
-            self._ended()
+            self._response_ended()
             return False
         elif isinstance(event, h11.ConnectionClosed):
             return False
         return True
 
-    def _ended(self) -> None:
+    def _response_ended(self) -> None:
         reusable = (
             self.open
             and self.parser.our_state is h11.DONE
@@ -154,13 +156,13 @@
             if name.lower() == b"timeout" and seconds.isdigit():
                 self.keep_alive_seconds = float(seconds)
 
-    def _garbled(self) -> None:
+    def _malformed(self) -> None:
         if self.open:
             self.open = False
             self.transport.abortConnection()
-        self._broken(ResponseFailure.MALFORMED)
+        self._fail(ResponseFailure.MALFORMED)
 
-    def _broken(self, reason: ResponseFailure) -> None:
+    def _fail(self, reason: ResponseFailure) -> None:
         listener, self.listener = self.listener, None
         if listener is not None:
             listener.response_failed(reason)
--- a/src/guavacleat/http1/messages.py
+++ b/src/guavacleat/http1/messages.py
@@ -1,8 +1,8 @@
-"""Request and answer heads, as both sides of the gateway see them."""
+"""Request and response heads, shared by the HTTP client and server."""
 
 __all__ = ["RequestHead", "ResponseHead", "end_to_end_headers"]
 
-# Headers that concern one connection only (RFC 9110, 7.6.1).
+# Headers that are not forwarded (RFC 9110, section 7.6.1).
 HOP_BY_HOP = {
     b"connection",
     b"keep-alive",
@@ -30,12 +30,12 @@
 
     @property
     def path(self) -> str:
-        """The target without its query."""
+        """The target without the query."""
         return self.target.partition(b"?")[0].decode("latin-1")
 
 
 class ResponseHead:
-    """An answer without its body; header names are in lower case."""
+    """A response without its body; header names are in lower case."""
 
     __slots__ = ("status", "reason", "headers")
 
@@ -46,12 +46,12 @@
 
     @property
     def content_length(self) -> int | None:
-        """Bytes of the body, None if the head does not say."""
+        """Size of the body in bytes; None without a content-length header."""
         return next((int(value) for name, value in self.headers if name == b"content-length"), None)
 
 
 def end_to_end_headers(headers: list[tuple[bytes, bytes]]) -> list[tuple[bytes, bytes]]:
-    """Headers that go on to the next hop: not those that this connection alone is about."""
+    """Remove the hop-by-hop headers, including those named in ``connection``."""
     values = (value for name, value in headers if name == b"connection")
     named = {item.strip().lower() for value in values for item in value.split(b",")}
     dropped = HOP_BY_HOP | named
--- a/src/guavacleat/http1/pool.py
+++ b/src/guavacleat/http1/pool.py
@@ -1,4 +1,4 @@
-"""Kept connections to endpoints, by address."""
+"""Pool of keep-alive connections to endpoints, by address."""
 
 import collections
 
@@ -8,19 +8,18 @@
 
 __all__ = ["ConnectionPool"]
 
-# Idle time after which a connection is not used again, where the endpoint names none. Engines
-# close idle connections without a word; a request that meets the close is lost unless it may be
-# repeated.
-IDLE_SECONDS = 4.0
-# Kept back from the time that an endpoint names, for the way there.
-IDLE_MARGIN_SECONDS = 1.0
-CONNECT_SECONDS = 1.0
+# Idle time after which a connection is closed, unless the endpoint's keep-alive header sets one.
+# A request sent while the endpoint closes the connection fails, and not all can be retried.
+DEFAULT_IDLE_SECONDS = 4.0
+# Subtracted from the endpoint's keep-alive timeout, to allow for network latency.
+KEEP_ALIVE_MARGIN_SECONDS = 1.0
+CONNECT_TIMEOUT_SECONDS = 1.0
 
 
 class ConnectionPool:
-    """Gives out connections; the newest idle one first, so that the others can lapse."""
+    """Connection pool; reuses the most recently idle connection, so that the others expire."""
 
-    def __init__(self, reactor, connect_timeout: float = CONNECT_SECONDS):
+    def __init__(self, reactor, connect_timeout: float = CONNECT_TIMEOUT_SECONDS):
         self.reactor = reactor
         self.connect_timeout = connect_timeout
         self.idle_by_address: dict[tuple[str, int], collections.deque] = {}
@@ -28,7 +27,7 @@
         self.opened = 0
 
     def connect(self, address: tuple[str, int]) -> defer.Deferred:
-        """Fire with a connection to ``address`` that nobody else uses."""
+        """Fire with an idle connection to ``address``, or with a new one."""
         idle = self.idle_by_address.get(address)
         while idle:
             connection = idle.pop()
@@ -43,13 +42,13 @@
         connector = protocol.ClientCreator(
             self.reactor,
             EndpointConnection,
-            lambda connection: self._keep(address, connection),
-            lambda connection: self._forget(address, connection),
+            lambda connection: self._release(address, connection),
+            lambda connection: self._remove(address, connection),
         )
         return connector.connectTCP(*address, timeout=self.connect_timeout)
 
     def drop(self, address: tuple[str, int]) -> None:
-        """Close the idle connections to an address whose endpoint is gone."""
+        """Close the idle connections to an address."""
         for connection in self.idle_by_address.pop(address, ()):
             self._cancel_timer(connection)
             connection.abandon()
@@ -58,14 +57,14 @@
         for address in list(self.idle_by_address):
             self.drop(address)
 
-    def _keep(self, address, connection) -> None:
-        seconds = IDLE_SECONDS
+    def _release(self, address, connection) -> None:
+        seconds = DEFAULT_IDLE_SECONDS
         if connection.keep_alive_seconds is not None:
-            seconds = max(0.0, connection.keep_alive_seconds - IDLE_MARGIN_SECONDS)
+            seconds = max(0.0, connection.keep_alive_seconds - KEEP_ALIVE_MARGIN_SECONDS)
         self.idle_by_address.setdefault(address, collections.deque()).append(connection)
         self.timers_by_connection[connection] = self.reactor.callLater(seconds, connection.abandon)
 
-    def _forget(self, address, connection) -> None:
+    def _remove(self, address, connection) -> None:
         self._cancel_timer(connection)
         idle = self.idle_by_address.get(address)
         if idle and connection in idle:
--- a/src/guavacleat/http1/server.py
+++ b/src/guavacleat/http1/server.py
@@ -1,8 +1,8 @@
-"""One caller's connection: requests in turn, each handed whole to a handler.
+"""HTTP server for callers' connections; requests on a connection are handled one after another.
 
-The handler gets a :class:`CallerExchange` and answers it once. What h11 refuses (two lengths, a
-length beside chunks, bad characters) is answered 400 and closed, so that two readers can never
-disagree on where a request ends.
+The handler receives a :class:`CallerExchange` with a complete request and responds to it once.
+Requests with ambiguous framing, such as two lengths, are rejected with 400 and the connection is
+closed, which prevents request smuggling.
 """
 
 import h11
@@ -13,21 +13,22 @@
 
 __all__ = ["CallerConnection", "CallerExchange", "CallerListener"]
 
-# Bytes of further requests read ahead while one is being answered; reading goes on to notice a
-# caller that leaves.
+# Limit on the pipelined data that is buffered while a request is processed. Reading continues
+# meanwhile in order to detect a disconnect.
 READ_AHEAD_BYTES = 65536
 BAD_REQUEST = 400
 REQUEST_TIMEOUT = 408
 TOO_LARGE = 413
 HEADERS_TOO_LARGE = 431
-# Bytes around a header's name and value: colon, space, carriage return and line feed.
+# Colon, space, carriage return and line feed of a header line.
 HEADER_OVERHEAD_BYTES = 4
 
 
 class CallerExchange:
-    """One request and the way to answer it.
+    """A request and its response.
 
-    ``on_disconnect()``, if set, is called when the caller leaves before its answer is complete.
+    ``on_disconnect()``, if set, is called if the caller disconnects before the response is
+    complete.
     """
 
     def __init__(self, connection: "CallerConnection", head: RequestHead, body: bytes):
@@ -35,7 +36,7 @@
         self.head = head
         self.body = body
         self.on_disconnect = None
-        # Who to tell when the caller reads too slowly: anything with pause() and resume().
+        # Producer of the response, with pause() and resume() for backpressure.
         self.source = None
         self.status: int | None = None
         self.ended = False
@@ -43,7 +44,7 @@
 
     @property
     def head_sent(self) -> bool:
-        """Whether the head of an answer was sent."""
+        """Whether the response head was sent."""
         return self.status is not None
 
     @property
@@ -53,7 +54,7 @@
     def start_response(
         self, status: int, reason: bytes, headers: list[tuple[bytes, bytes]]
     ) -> None:
-        """Send the head; without a content-length header the body goes in chunks."""
+        """Send the response head; without a content-length header the body is sent in chunks."""
         self.status = status
         self.connection.send_head(status, reason, headers)
 
@@ -61,33 +62,33 @@
         self.connection.send_body(data)
 
     def end(self) -> None:
-        """The answer is complete."""
+        """Complete the response."""
         self.ended = True
         self.connection.send_end()
 
     def respond(self, status: int, headers, body: bytes, reason: bytes = b"") -> None:
-        """Send a whole answer."""
+        """Send a complete response."""
         self.start_response(status, reason, [*headers, (b"content-length", b"%d" % len(body))])
         if body and self.head.method != b"HEAD":
             self.write(body)
         self.end()
 
     def abort(self) -> None:
-        """End the connection without completing the answer, so that it cannot look whole."""
+        """Close the connection without completing the response, so that it is seen as truncated."""
         self.ended = True
         self.aborted = True
         self.connection.abort()
 
 
 class CallerConnection(protocol.Protocol):
-    """Serves one caller; ``listener`` is the :class:`CallerListener` it belongs to."""
+    """A connection from a caller, accepted by ``listener``."""
 
     def __init__(self, listener: "CallerListener"):
         self.listener = listener
         self.open = False
         self.exchange: CallerExchange | None = None
         self.head: RequestHead | None = None
-        self.pieces: list[bytes] = []
+        self.chunks: list[bytes] = []
         self.size = 0
         self.timer = None
         self.paused = False
@@ -99,7 +100,7 @@
         enable_dead_peer_detection(self.transport)
         self.transport.registerProducer(self, True)
         self.listener.connections.add(self)
-        self._set_timer(limits.idle_timeout, self._idle_too_long)
+        self._set_timer(limits.idle_timeout, self._idle_timed_out)
 
     def dataReceived(self, data):  # noqa: N802 - Twisted's name
         self.parser.receive_data(data)
@@ -123,68 +124,70 @@
             while self.open and self.exchange is None:
                 event = self.parser.next_event()
                 if event is h11.NEED_DATA or event is h11.PAUSED:
-                    self._await_more()
+                    self._wait_for_data()
                     return
                 self._handle(event)
         except h11.RemoteProtocolError as exc:
-            self._refuse(exc.error_status_hint or BAD_REQUEST)
+            self._reject(exc.error_status_hint or BAD_REQUEST)
 
-    def _await_more(self) -> None:
+    def _wait_for_data(self) -> None:
         limits = self.listener.limits()
         if self.head is not None:
-            self._set_timer(limits.idle_timeout, self._request_too_slow)
+            self._set_timer(limits.idle_timeout, self._request_timed_out)
         elif self.parser.trailing_data[0]:
-            if self.timer is None or self.timer.func != self._request_too_slow:
-                self._set_timer(limits.header_timeout, self._request_too_slow)
+            if self.timer is None or self.timer.func != self._request_timed_out:
+                self._set_timer(limits.header_timeout, self._request_timed_out)
         else:
-            self._set_timer(limits.idle_timeout, self._idle_too_long)
+            self._set_timer(limits.idle_timeout, self._idle_timed_out)
 
     def _handle(self, event) -> None:
         if isinstance(event, h11.Request):
             self._begin_request(event)
         elif isinstance(event, h11.Data):
-            self._take_body(bytes(event.data))
+            self._body_received(bytes(event.data))
         elif isinstance(event, h11.EndOfMessage):
             self._request_complete()
         elif isinstance(event, h11.ConnectionClosed):
             self.close()
 
     def _begin_request(self, event: h11.Request) -> None:
-        # h11 bounds only heads that are not yet whole: one that came at once may be larger.
+        # h11 limits only incomplete heads: one received in a single read may be larger.
         if _head_bytes(event) > self.listener.limits().max_header_bytes:
-            self._refuse(HEADERS_TOO_LARGE)
+            self._reject(HEADERS_TOO_LARGE)
             return
         names = [name for name, _ in event.headers]
-        # h11 lets chunks win over a length; one of the two readers on the way may not.
+        # h11 prefers chunked encoding over a length; another parser on the path may not.
         if b"transfer-encoding" in names and b"content-length" in names:
-            self._refuse(BAD_REQUEST)
+            self._reject(BAD_REQUEST)
             return
         lengths = [value for name, value in event.headers if name == b"content-length"]
         if lengths and int(lengths[0]) > self.listener.limits().max_body_bytes:
-            self._refuse(TOO_LARGE)
+            self._reject(TOO_LARGE)
             return
         self.head = RequestHead(event.method, event.target, list(event.headers))
-        self.pieces, self.size = [], 0
+        self.chunks, self.size = [], 0
         if self.parser.they_are_waiting_for_100_continue:
-            go_on = h11.InformationalResponse(status_code=100, headers=[], reason=b"Continue")
-            self.transport.write(self.parser.send(go_on))
+            informational = h11.InformationalResponse(
+                status_code=100, headers=[], reason=b"Continue"
+            )
+            self.transport.write(self.parser.send(informational))
 
-    def _take_body(self, data: bytes) -> None:
-        self.pieces.append(data)
+    def _body_received(self, data: bytes) -> None:
+        self.chunks.append(data)
         self.size += len(data)
         if self.size > self.listener.limits().max_body_bytes:
-            self._refuse(TOO_LARGE)
+            self._reject(TOO_LARGE)
 
     def _request_complete(self) -> None:
         self._set_timer(None, None)
         head, self.head = self.head, None
-        exchange = CallerExchange(self, head, b"".join(self.pieces))
-        self.pieces = []
+        exchange = CallerExchange(self, head, b"".join(self.chunks))
+        self.chunks = []
         self.exchange = exchange
         self.listener.handle(exchange)
 
-    def _refuse(self, status: int) -> None:
-        """Answer a request that could not be read, and close: what follows cannot be told."""
+    def _reject(self, status: int) -> None:
+        """Respond to an invalid request and close, since the next request's start is unknown."""
         self.listener.refused(status)
         if self.parser.our_state in (h11.IDLE, h11.SEND_RESPONSE):
             headers = [(b"content-length", b"0"), (b"connection", b"close")]
@@ -193,10 +196,10 @@
             self.transport.write(self.parser.send(h11.EndOfMessage()))
         self.close()
 
-    def _request_too_slow(self) -> None:
-        self._refuse(REQUEST_TIMEOUT)
+    def _request_timed_out(self) -> None:
+        self._reject(REQUEST_TIMEOUT)
 
-    def _idle_too_long(self) -> None:
+    def _idle_timed_out(self) -> None:
         self.close()
 
     def _set_timer(self, seconds: float | None, expired) -> None:
@@ -225,7 +228,7 @@
             return
         self.parser.start_next_cycle()
         self.transport.resumeProducing()
-        # Not from within the handler of the answered request: it may still be at work.
+        # Deferred, because the handler of this request may not have returned yet.
         self.listener.reactor.callLater(0, self._read)
 
     def _send(self, event) -> None:
@@ -233,7 +236,7 @@
             self.transport.write(self.parser.send(event))
 
     def close(self) -> None:
-        """Close after what was written has gone out."""
+        """Close after sending the buffered data."""
         self._set_timer(None, None)
         if self.open:
             self.open = False
@@ -246,7 +249,7 @@
             self.transport.abortConnection()
 
     def pauseProducing(self):  # noqa: N802 - Twisted's name
-        """The caller reads too slowly: called by the transport."""
+        """Called by the transport when its send buffer is full."""
         self.paused = True
         if self.exchange is not None:
             self.listener.flow_changed(self.exchange, paused=True)
@@ -266,11 +269,11 @@
 
 
 class CallerListener(protocol.Factory):
-    """Accepts callers' connections.
+    """Protocol factory of :class:`CallerConnection`.
 
     :param handle: called with each :class:`CallerExchange`.
-    :param limits: returns the :class:`~guavacleat.routes.CallerLimits` in force.
-    :param refused: called with the status of a request that could not be read.
+    :param limits: returns the current :class:`~guavacleat.routes.CallerLimits`.
+    :param refused: called with the response status of each invalid request.
     """
 
     noisy = False
@@ -288,12 +291,12 @@
         return CallerConnection(self)
 
     def close_idle(self) -> None:
-        """Close the connections on which no request is being read or answered."""
+        """Close the connections without a request in progress."""
         for connection in list(self.connections):
             if connection.exchange is None and connection.head is None:
                 connection.close()
 
     def flow_changed(self, exchange: CallerExchange, paused: bool) -> None:
-        """Tell the answer's source to wait or go on."""
+        """Pause or resume the producer of the response."""
         if exchange.source is not None:
             (exchange.source.pause if paused else exchange.source.resume)()
--- a/tests/http1/test_calls.py
+++ b/tests/http1/test_calls.py
@@ -1,4 +1,4 @@
-"""Whole calls: how long an answer may pause, and how large it may be."""
+"""HTTP calls: timeouts and the size limit of the response body."""
 
 import pytest
 from twisted.internet import defer
@@ -10,11 +10,11 @@
 
 TIMEOUT = 3.0
 READ_TIMEOUT = 0.8
-MOST_BYTES = 100
+MAX_BODY_BYTES = 100
 
 
-class Pool:
-    """One connection, whose other end is a test's."""
+class FakePool:
+    """Pool with a single connection whose peer is the test."""
 
     def __init__(self):
         self.connection = EndpointConnection(lambda _: None, lambda _: None)
@@ -25,33 +25,33 @@
 
 
 @pytest.fixture
-def asked(clock):
-    """The connection of a call under way, and what the call fires with."""
-    pool = Pool()
+def pending_call(clock):
+    """A call in progress: its connection and its Deferred result."""
+    pool = FakePool()
     coroutine = call(
-        clock, pool, ("e", 80), b"GET", b"/", [], b"", TIMEOUT, READ_TIMEOUT, MOST_BYTES
+        clock, pool, ("e", 80), b"GET", b"/", [], b"", TIMEOUT, READ_TIMEOUT, MAX_BODY_BYTES
     )
     return pool.connection, defer.Deferred.fromCoroutine(coroutine)
 
 
-def test_an_answer_may_take_long_if_it_does_not_pause(asked, clock):
-    connection, answered = asked
+def test_read_timeout_does_not_limit_the_total_time(pending_call, clock):
+    connection, result = pending_call
     clock.advance(TIMEOUT - 0.1)
     connection.dataReceived(b"HTTP/1.1 200 OK\r\ncontent-length: 20\r\n\r\n")
     for _ in range(20):
         clock.advance(READ_TIMEOUT - 0.1)
         connection.dataReceived(b"x")
-    assert result_of(answered).body == b"x" * 20
+    assert result_of(result).body == b"x" * 20
 
 
 @pytest.mark.parametrize("first", [b"", b"HTTP/1.1 200 OK\r\ncontent-length: 20\r\n\r\nxxx"])
-def test_an_answer_that_does_not_begin_or_go_on_is_given_up(asked, clock, first):
-    connection, answered = asked
+def test_stalled_response_times_out(pending_call, clock, first):
+    connection, result = pending_call
     if first:
         connection.dataReceived(first)
     clock.advance(READ_TIMEOUT if first else TIMEOUT)
     with pytest.raises(CallBrokenError, match="3 bytes" if first else "0 bytes"):
-        result_of(answered)
+        result_of(result)
     assert not connection.open
 
 
@@ -62,15 +62,15 @@
         b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n65\r\n" + b"x" * 101,
     ],
 )
-def test_an_answer_that_is_too_large_is_not_read_on(asked, data):
-    connection, answered = asked
+def test_response_above_the_size_limit_is_aborted(pending_call, data):
+    connection, result = pending_call
     connection.dataReceived(data)
     with pytest.raises(ResponseTooLargeError):
-        result_of(answered)
+        result_of(result)
     assert not connection.open
 
 
-def test_an_answer_as_large_as_wanted_is_read(asked):
-    connection, answered = asked
+def test_response_at_the_size_limit_is_accepted(pending_call):
+    connection, result = pending_call
     connection.dataReceived(b"HTTP/1.1 200 OK\r\ncontent-length: 100\r\n\r\n" + b"x" * 100)
-    assert len(result_of(answered).body) == MOST_BYTES
+    assert len(result_of(result).body) == MAX_BODY_BYTES
--- a/tests/http1/test_client.py
+++ b/tests/http1/test_client.py
@@ -1,4 +1,4 @@
-"""A connection to an endpoint: whose answer the bytes are, and when an answer is whole."""
+"""Client connections: which data belongs to a response, and when a response is complete."""
 
 import pytest
 from hypothesis import given
@@ -10,11 +10,11 @@
 from guavacleat.http1.client import EndpointConnection, ResponseFailure, ResponseListener
 
 
-class Heard(ResponseListener):
+class RecordingListener(ResponseListener):
     def __init__(self):
         self.head = None
         self.body = b""
-        self.ends = []
+        self.outcomes = []
 
     def response_started(self, head):
         self.head = head
@@ -23,13 +23,13 @@
         self.body += data
 
     def response_completed(self):
-        self.ends.append("whole")
+        self.outcomes.append("whole")
 
     def response_failed(self, reason):
-        self.ends.append(reason)
+        self.outcomes.append(reason)
 
 
-class Link:
+class ConnectionHarness:
     def __init__(self):
         self.idle, self.closed = [], []
         self.connection = EndpointConnection(self.idle.append, self.closed.append)
@@ -37,33 +37,33 @@
         self.transport.abortConnection = self.transport.loseConnection
         self.connection.makeConnection(self.transport)
 
-    def ask(self, method=b"GET", body=b""):
-        heard = Heard()
-        self.connection.send(method, b"/x", [(b"host", b"e")], body, heard)
-        return heard
+    def send_request(self, method=b"GET", body=b""):
+        listener = RecordingListener()
+        self.connection.send(method, b"/x", [(b"host", b"e")], body, listener)
+        return listener
 
     def receive(self, data):
         self.connection.dataReceived(data)
 
-    def lose(self, kind=ConnectionLost):
+    def close(self, kind=ConnectionLost):
         self.connection.connectionLost(Failure(kind()))
 
 
 @pytest.fixture
-def link():
-    return Link()
+def harness():
+    return ConnectionHarness()
 
 
-def test_a_whole_answer_frees_the_connection(link):
-    heard = link.ask()
-    link.receive(b"HTTP/1.1 200 OK\r\ncontent-length: 2\r\nkeep-alive: timeout=5\r\n\r\nhi")
-    assert (heard.body, heard.ends) == (b"hi", ["whole"])
-    assert link.idle == [link.connection]
-    assert link.connection.keep_alive_seconds == 5.0
+def test_connection_is_reused_after_a_complete_response(harness):
+    listener = harness.send_request()
+    harness.receive(b"HTTP/1.1 200 OK\r\ncontent-length: 2\r\nkeep-alive: timeout=5\r\n\r\nhi")
+    assert (listener.body, listener.outcomes) == (b"hi", ["whole"])
+    assert harness.idle == [harness.connection]
+    assert harness.connection.keep_alive_seconds == 5.0
 
 
 BROKEN = [
-    # (bytes, how the connection ends, what the listener hears last)
+    # (data, exception with which the connection is lost, the listener's last outcome)
     (b"HTTP/1.1 200 OK\r\ncontent-length: 5\r\n\r\nhi", ConnectionDone, ResponseFailure.CLOSED),
     (b"HTTP/1.1 200 OK\r\ncontent-length: 5\r\n\r\nhi", ConnectionLost, ResponseFailure.RESET),
     (b"HTTP/1.1 200 OK\r\n\r\nhi", ConnectionDone, "whole"),
@@ -76,59 +76,51 @@
 
 
 @pytest.mark.parametrize("data,kind,last", BROKEN)
-def test_only_a_whole_answer_counts_as_whole(link, data, kind, last):
-    """
-    Symptom: a truncated answer passes as complete.
-    Sequence: the endpoint sends some bytes and its connection ends, cleanly or not.
-    Cause: an answer without a length is whole only after a clean end, others only at their length.
-    """
-    heard = link.ask()
+def test_truncated_response_is_not_reported_as_complete(harness, data, kind, last):
+    """A response without a length is complete only after a clean close."""
+    listener = harness.send_request()
     if data:
-        link.receive(data)
-    link.lose(kind)
-    assert heard.ends == [last]
-    assert link.idle == []
+        harness.receive(data)
+    harness.close(kind)
+    assert listener.outcomes == [last]
+    assert harness.idle == []
 
 
-def test_bytes_behind_an_answer_end_the_connection(link):
-    """
-    Symptom: a caller gets another caller's answer.
-    Sequence: an endpoint answers twice; the connection is used for the next request.
-    Cause: the second answer stands where the next one is due.
-    """
-    heard = link.ask()
-    one = b"HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nhi"
-    link.receive(one + one)
-    assert heard.ends == ["whole"] and heard.body == b"hi"
-    assert link.idle == [] and link.transport.disconnecting
+def test_data_after_a_response_closes_the_connection(harness):
+    """Guards against passing a duplicate response to the connection's next request."""
+    listener = harness.send_request()
+    response = b"HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nhi"
+    harness.receive(response + response)
+    assert listener.outcomes == ["whole"] and listener.body == b"hi"
+    assert harness.idle == [] and harness.transport.disconnecting
 
 
-def test_bytes_on_an_idle_connection_end_it(link):
-    link.ask()
-    link.receive(b"HTTP/1.1 200 OK\r\ncontent-length: 0\r\n\r\n")
-    link.receive(b"HTTP/1.1 200 OK\r\ncontent-length: 0\r\n\r\n")
-    assert link.transport.disconnecting
+def test_data_on_an_idle_connection_closes_it(harness):
+    harness.send_request()
+    harness.receive(b"HTTP/1.1 200 OK\r\ncontent-length: 0\r\n\r\n")
+    harness.receive(b"HTTP/1.1 200 OK\r\ncontent-length: 0\r\n\r\n")
+    assert harness.transport.disconnecting
 
 
-def test_an_answer_before_the_body_was_read_leaves_the_body_whole(link):
-    heard = link.ask(b"POST", b"x" * 50)
-    link.receive(b"HTTP/1.1 413 No\r\ncontent-length: 0\r\n\r\n")
-    assert heard.head.status == 413
-    assert link.transport.value().endswith(b"x" * 50)
+def test_early_response_does_not_truncate_the_request_body(harness):
+    listener = harness.send_request(b"POST", b"x" * 50)
+    harness.receive(b"HTTP/1.1 413 No\r\ncontent-length: 0\r\n\r\n")
+    assert listener.head.status == 413
+    assert harness.transport.value().endswith(b"x" * 50)
 
 
-def test_an_abandoned_request_is_told_once(link):
-    heard = link.ask()
-    link.connection.abandon()
-    link.lose()
-    assert heard.ends == [ResponseFailure.ABANDONED]
+def test_abandoned_request_fails_once(harness):
+    listener = harness.send_request()
+    harness.connection.abandon()
+    harness.close()
+    assert listener.outcomes == [ResponseFailure.ABANDONED]
 
 
 @given(st.binary(max_size=200))
-def test_any_bytes_end_in_one_verdict(data):
-    link = Link()
-    heard = link.ask()
+def test_any_data_yields_exactly_one_outcome(data):
+    harness = ConnectionHarness()
+    listener = harness.send_request()
     if data:
-        link.receive(data)
-    link.lose()
-    assert len(heard.ends) == 1
+        harness.receive(data)
+    harness.close()
+    assert len(listener.outcomes) == 1
--- a/tests/http1/test_server.py
+++ b/tests/http1/test_server.py
@@ -1,4 +1,4 @@
-"""A caller's connection: framing, limits, smuggling, idle and leaving callers."""
+"""Callers' connections: framing, request smuggling, limits, timeouts and disconnects."""
 
 import pytest
 from hypothesis import given
@@ -15,7 +15,7 @@
 
 
 class Caller:
-    """A connection with its listener; ``exchanges`` are the requests handed on."""
+    """A connection with its listener; ``exchanges`` are the requests passed to the handler."""
 
     def __init__(self, clock):
         self.clock = clock
@@ -46,7 +46,7 @@
     return Caller(clock)
 
 
-def test_requests_on_one_connection_are_answered_in_turn(caller, clock):
+def test_pipelined_requests_are_handled_in_order(caller, clock):
     caller.send(b"GET /a HTTP/1.1\r\nhost: h\r\n\r\nGET /b HTTP/1.1\r\nhost: h\r\n\r\n")
     assert [exchange.head.target for exchange in caller.exchanges] == [b"/a"]
     caller.exchanges[0].respond(200, [], b"first")
@@ -56,7 +56,7 @@
     assert caller.received.index(b"first") < caller.received.index(b"second")
 
 
-def test_a_body_in_chunks_arrives_whole(caller):
+def test_chunked_body_is_decoded(caller):
     caller.send(
         b"POST /a HTTP/1.1\r\nhost: h\r\ntransfer-encoding: chunked\r\n\r\n"
         b"3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n"
@@ -64,7 +64,7 @@
     assert caller.exchanges[0].body == b"abcde"
 
 
-SMUGGLED = [
+AMBIGUOUS_REQUESTS = [
     b"POST /a HTTP/1.1\r\nhost: h\r\ncontent-length: 3\r\n"
     b"transfer-encoding: chunked\r\n\r\n0\r\n\r\n",
     b"POST /a HTTP/1.1\r\nhost: h\r\ncontent-length: 3\r\ncontent-length: 4\r\n\r\nabcd",
@@ -78,33 +78,29 @@
 ]
 
 
-@pytest.mark.parametrize("request_bytes", SMUGGLED)
-def test_requests_that_two_readers_could_frame_differently_are_refused(caller, request_bytes):
-    """
-    Symptom: an engine runs a request that no caller sent.
-    Sequence: a caller sends framing that one reader takes one way and the next another.
-    Cause: such a request must be refused, and nothing behind it be read.
-    """
+@pytest.mark.parametrize("request_bytes", AMBIGUOUS_REQUESTS)
+def test_requests_with_ambiguous_framing_are_rejected(caller, request_bytes):
+    """Guards against request smuggling: data after such a request must not be parsed."""
     caller.send(request_bytes + b"GET /smuggled HTTP/1.1\r\nhost: h\r\n\r\n")
     assert caller.exchanges == []
     assert 400 <= caller.refused[0] < 502
     assert caller.closed
 
 
-def test_header_and_body_bounds_have_their_own_status(clock):
+def test_header_and_body_limits_have_their_own_status(clock):
     large_header = Caller(clock)
     large_header.send(b"GET /a HTTP/1.1\r\nhost: h\r\nx: " + b"y" * 3000 + b"\r\n\r\n")
     assert large_header.refused == [431]
     large_body = Caller(clock)
     large_body.send(b"POST /a HTTP/1.1\r\nhost: h\r\ncontent-length: 101\r\n\r\n")
     assert large_body.refused == [413]
-    growing = Caller(clock)
-    growing.send(b"POST /a HTTP/1.1\r\nhost: h\r\ntransfer-encoding: chunked\r\n\r\n")
-    growing.send(b"65\r\n" + b"x" * 101 + b"\r\n")
-    assert growing.refused == [413]
+    chunked_body = Caller(clock)
+    chunked_body.send(b"POST /a HTTP/1.1\r\nhost: h\r\ntransfer-encoding: chunked\r\n\r\n")
+    chunked_body.send(b"65\r\n" + b"x" * 101 + b"\r\n")
+    assert chunked_body.refused == [413]
 
 
-def test_a_caller_that_sends_its_header_too_slowly_is_refused(caller, clock):
+def test_slow_request_head_times_out(caller, clock):
     caller.send(b"GET /a HTTP/1.1\r\n")
     clock.advance(2.0)
     caller.send(b"host: h\r\n")
@@ -112,19 +108,15 @@
     assert caller.refused == [408]
 
 
-def test_an_idle_connection_is_closed_and_a_busy_one_is_not(clock):
+def test_idle_timeout_spares_a_connection_with_a_request_in_progress(clock):
     idle, busy = Caller(clock), Caller(clock)
     busy.send(b"GET /a HTTP/1.1\r\nhost: h\r\n\r\n")
     clock.advance(15.1)
     assert idle.closed and not busy.closed
 
 
-def test_an_answer_that_is_cut_never_looks_complete(caller):
-    """
-    Symptom: a caller takes half an answer for the whole.
-    Sequence: the answer goes in chunks; its source fails.
-    Cause: the last chunk must not be sent.
-    """
+def test_aborted_response_is_not_terminated(caller):
+    """Without the last chunk the caller can tell that the response is truncated."""
     caller.send(b"GET /a HTTP/1.1\r\nhost: h\r\n\r\n")
     exchange = caller.exchanges[0]
     exchange.start_response(200, b"OK", [])
@@ -134,15 +126,15 @@
     assert not caller.received.endswith(b"0\r\n\r\n")
 
 
-def test_a_caller_that_leaves_is_noticed_while_its_answer_is_awaited(caller):
+def test_disconnect_is_reported_while_a_request_is_handled(caller):
     caller.send(b"GET /a HTTP/1.1\r\nhost: h\r\n\r\n")
-    gone = []
-    caller.exchanges[0].on_disconnect = lambda: gone.append(True)
+    disconnects = []
+    caller.exchanges[0].on_disconnect = lambda: disconnects.append(True)
     caller.connection.connectionLost()
-    assert gone == [True] and caller.exchanges[0].disconnected
+    assert disconnects == [True] and caller.exchanges[0].disconnected
 
 
-def test_a_slow_reader_pauses_the_source(caller):
+def test_slow_reader_pauses_the_source(caller):
     caller.send(b"GET /a HTTP/1.1\r\nhost: h\r\n\r\n")
     exchange = caller.exchanges[0]
 
@@ -161,7 +153,7 @@
     assert exchange.source.calls == ["pause", "resume"]
 
 
-def test_a_stopping_listener_closes_after_the_answer(caller):
+def test_closing_listener_closes_the_connection_after_the_response(caller):
     caller.send(b"GET /a HTTP/1.1\r\nhost: h\r\n\r\n")
     caller.listener.closing = True
     caller.exchanges[0].respond(200, [], b"x")
@@ -169,13 +161,13 @@
     assert caller.closed
 
 
-def test_expect_continue_is_granted(caller):
+def test_expect_100_continue(caller):
     caller.send(b"POST /a HTTP/1.1\r\nhost: h\r\nexpect: 100-continue\r\ncontent-length: 1\r\n\r\n")
     assert caller.received.startswith(b"HTTP/1.1 100")
 
 
 @given(st.binary(max_size=300))
-def test_any_bytes_are_read_refused_or_awaited_never_an_error(data):
+def test_any_data_is_parsed_without_an_exception(data):
     caller = Caller(Clock())
     caller.send(data)
     caller.connection.connectionLost()
