--- a/src/guavacleat/platform/__init__.py
+++ b/src/guavacleat/platform/__init__.py
@@ -1,4 +1,4 @@
-"""The users' platform: its names, formats and calls, translated to and from the product's types.
+"""Adapter for the users' platform: converts its names, formats and calls to the product's types.
 
-Nothing in here decides anything, and nothing outside it knows the platform's names.
+This package contains no policy. No other package uses the platform's names.
 """
--- a/src/guavacleat/platform/adapter.py
+++ b/src/guavacleat/platform/adapter.py
@@ -1,4 +1,4 @@
-"""Everything the ingress needs of the platform, in one place."""
+"""The platform interface that the ingress uses."""
 
 from guavacleat.platform.decode import decode_configuration, decode_endpoint
 from guavacleat.platform.objects import CONFIG_KIND, CONFIG_NAME, ENDPOINT_KIND, PlatformDialect
@@ -8,7 +8,7 @@
 
 
 class PlatformAdapter:
-    """See :class:`~guavacleat.ingress.service.IngressService` for each part."""
+    """See :class:`~guavacleat.ingress.service.IngressService` for each attribute."""
 
     config_kind = CONFIG_KIND
     config_name = CONFIG_NAME
--- a/src/guavacleat/platform/decode.py
+++ b/src/guavacleat/platform/decode.py
@@ -1,4 +1,4 @@
-"""What operators and engines write to the store, decoded into the product's types."""
+"""Decodes the objects that operators and engines write to the store."""
 
 import ipaddress
 import math
@@ -17,31 +17,32 @@
 
 __all__ = ["decode_configuration", "decode_endpoint"]
 
-MS = 1000
-KINDS_BY_WORD = {
+MS_PER_SECOND = 1000
+KINDS_BY_NAME = {
     "idempotent": RequestKind.IDEMPOTENT,
     "non_idempotent": RequestKind.NON_IDEMPOTENT,
     "stream": RequestKind.STREAM,
 }
-STATES_BY_WORD = {"ready": EndpointState.READY, "draining": EndpointState.DRAINING}
+STATES_BY_NAME = {"ready": EndpointState.READY, "draining": EndpointState.DRAINING}
 PORTS = range(1, 65536)
-# Up to here each whole number has a float of its own (53 bits of mantissa).
-LARGEST_EXACT_FLOAT = 2**53 - 1
+# Largest integer up to which all integers are exact as floats (53-bit mantissa).
+MAX_EXACT_FLOAT_INTEGER = 2**53 - 1
 
 
 def decode_configuration(spec: dict) -> RouteTable:
-    """Decode one version of the operators' configuration.
+    """Decode a version of the configuration.
 
-    Raises KeyError, ValueError, TypeError or AttributeError if it is not as described: what is let
-    through here is used with every request.
+    Raises KeyError, ValueError, TypeError or AttributeError if it is invalid.
     """
     tenants = spec.get("tenants") or []
     return RouteTable(
         version=_version(spec["version"]),
         routes=[_route(item) for item in spec.get("routes", [])],
-        services_by_name={_text(item["name"]): _service(item) for item in spec.get("services", [])},
+        services_by_name={
+            _string(item["name"]): _service(item) for item in spec.get("services", [])
+        },
         accounts_by_key={
-            _text(key): account
+            _string(key): account
             for tenant in tenants
             for account in [_account(tenant)]
             for key in tenant.get("apiKeys", [])
@@ -51,41 +52,41 @@
     )
 
 
-def _text(value) -> str:
+def _string(value) -> str:
     if not isinstance(value, str):
-        raise ValueError(f"{value!r} is not a text")
+        raise ValueError(f"{value!r} is not a string")
     return value
 
 
-def _whole(value) -> int:
-    """A whole number; some encoders write it as a float."""
+def _integer(value) -> int:
+    """Check an integer; floats with an integral value are accepted, as some encoders write them."""
     if isinstance(value, float) and value.is_integer():
         return int(value)
     if not isinstance(value, int) or isinstance(value, bool):
-        raise ValueError(f"{value!r} is not a whole number")
+        raise ValueError(f"{value!r} is not an integer")
     return value
 
 
 def _version(value) -> int:
-    """A configuration's version; as a float only where floats tell whole numbers apart.
+    """Check a configuration's version; a float is accepted only up to MAX_EXACT_FLOAT_INTEGER.
 
-    Beyond that, a float stands for other numbers too: taken for one of them, it could be above
-    versions that are newer, and each gateway that took it would ignore those for good.
+    A larger float may be higher than the intended version, and gateways that applied it would
+    then ignore later versions.
     """
-    version = _whole(value)
-    if isinstance(value, float) and abs(value) > LARGEST_EXACT_FLOAT:
-        raise ValueError(f"version {value!r} is not exact; write it as a whole number")
+    version = _integer(value)
+    if isinstance(value, float) and abs(value) > MAX_EXACT_FLOAT_INTEGER:
+        raise ValueError(f"version {value!r} is not exact; write it as an integer")
     return version
 
 
 def _get(item: dict, key: str, default):
-    """A part that may be left out, or be null."""
+    """The value of ``key``, or ``default`` if it is missing or null."""
     value = item.get(key)
     return default if value is None else value
 
 
 def _number(value) -> float:
-    """A number; a limit without end or below nothing is none."""
+    """Check a finite, non-negative number."""
     if isinstance(value, bool) or not isinstance(value, (int, float)):
         raise ValueError(f"{value!r} is not a number")
     if not 0 <= value < math.inf:
@@ -95,26 +96,26 @@
 
 def _account(item: dict) -> Account:
     priority = item.get("priority")
-    return Account(_text(item["name"]), None if priority is None else _whole(priority))
+    return Account(_string(item["name"]), None if priority is None else _integer(priority))
 
 
 def _route(item: dict) -> Route:
     backends = item.get("backends") or [{"service": item["service"], "weight": 1}]
     gap_goal = item.get("gapGoalMs")
     return Route(
-        name=_text(item["name"]),
-        host=_text(item["host"]).lower(),
-        path_prefix=_text(item["pathPrefix"]),
+        name=_string(item["name"]),
+        host=_string(item["host"]).lower(),
+        path_prefix=_string(item["pathPrefix"]),
         backends=tuple(
-            Backend(_text(backend["service"]), _number(backend["weight"])) for backend in backends
+            Backend(_string(backend["service"]), _number(backend["weight"])) for backend in backends
         ),
-        # A kind that is not known yet is handled like the strictest one: run once at most.
-        kind=KINDS_BY_WORD.get(_text(_get(item, "kind", "")), RequestKind.NON_IDEMPOTENT),
-        timeout=_number(item["timeoutMs"]) / MS,
-        latency_goal=_number(_get(item, "latencyGoalMs", item["timeoutMs"])) / MS,
-        gap_goal=None if gap_goal is None else _number(gap_goal) / MS,
-        max_attempts=_whole(_get(item, "maxAttempts", 1)),
-        priority=_whole(_get(item, "priority", 5)),
+        # Requests of an unknown kind are never retried.
+        kind=KINDS_BY_NAME.get(_string(_get(item, "kind", "")), RequestKind.NON_IDEMPOTENT),
+        timeout=_number(item["timeoutMs"]) / MS_PER_SECOND,
+        latency_goal=_number(_get(item, "latencyGoalMs", item["timeoutMs"])) / MS_PER_SECOND,
+        gap_goal=None if gap_goal is None else _number(gap_goal) / MS_PER_SECOND,
+        max_attempts=_integer(_get(item, "maxAttempts", 1)),
+        priority=_integer(_get(item, "priority", 5)),
         public=bool(item.get("public")),
     )
 
@@ -122,20 +123,20 @@
 def _service(item: dict) -> ServiceTraits:
     engine = item.get("engine")
     return ServiceTraits(
-        name=_text(item["name"]),
-        max_connections=_whole(_get(item, "maxConns", 100)),
+        name=_string(item["name"]),
+        max_connections=_integer(_get(item, "maxConns", 100)),
         engine=_engine(engine) if engine else None,
     )
 
 
 def _engine(item: dict) -> EngineTraits:
     return EngineTraits(
-        slots=_whole(item["slots"]),
-        memory_tokens=_whole(item["kvCapacity"]),
+        slots=_integer(item["slots"]),
+        memory_tokens=_integer(item["kvCapacity"]),
         token_bytes=_number(_get(item, "kvTokenBytes", 0)),
         link_mbps=_number(_get(item, "linkMbps", 0.0)),
-        # The page calls the tokens in one event the stride.
-        tokens_per_event=_whole(_get(item, "stride", 1)),
+        # The platform calls the number of tokens per event the stride.
+        tokens_per_event=_integer(_get(item, "stride", 1)),
         moves=bool(item.get("moves")),
         backups=bool(item.get("backups")),
     )
@@ -144,33 +145,37 @@
 def _limits(item: dict) -> CallerLimits:
     defaults = CallerLimits()
     return CallerLimits(
-        max_header_bytes=_whole(_get(item, "maxHeaderBytes", defaults.max_header_bytes)),
-        max_body_bytes=_whole(_get(item, "maxBodyBytes", defaults.max_body_bytes)),
-        header_timeout=_number(_get(item, "headerTimeoutMs", defaults.header_timeout * MS)) / MS,
-        idle_timeout=_number(_get(item, "idleTimeoutMs", defaults.idle_timeout * MS)) / MS,
+        max_header_bytes=_integer(_get(item, "maxHeaderBytes", defaults.max_header_bytes)),
+        max_body_bytes=_integer(_get(item, "maxBodyBytes", defaults.max_body_bytes)),
+        header_timeout=_number(
+            _get(item, "headerTimeoutMs", defaults.header_timeout * MS_PER_SECOND)
+        )
+        / MS_PER_SECOND,
+        idle_timeout=_number(_get(item, "idleTimeoutMs", defaults.idle_timeout * MS_PER_SECOND))
+        / MS_PER_SECOND,
     )
 
 
 def decode_endpoint(id: str, spec: dict, revision: int) -> EndpointEntry:
-    """Decode the entry that an engine keeps of itself under its id; raises like the above."""
+    """Decode an engine's entry; raises the same exceptions as :func:`decode_configuration`."""
     started = spec.get("born")
     return EndpointEntry(
         id=id,
-        service=_text(spec["service"]),
-        address=_address(_text(spec["address"])),
-        data_centre=_text(_get(spec, "zone", "")),
-        slots=_whole(_get(spec, "slots", 1)),
-        # A state that is not known says neither that it takes work nor that it leaves.
-        state=STATES_BY_WORD.get(_text(spec["state"]), EndpointState.UNUSABLE),
+        service=_string(spec["service"]),
+        address=_address(_string(spec["address"])),
+        data_centre=_string(_get(spec, "zone", "")),
+        slots=_integer(_get(spec, "slots", 1)),
+        # An unknown state means neither ready nor draining.
+        state=STATES_BY_NAME.get(_string(spec["state"]), EndpointState.UNUSABLE),
         revision=revision,
-        started_ms=None if started is None else _whole(started),
+        started_ms=None if started is None else _integer(started),
     )
 
 
 def _address(text: str) -> tuple[str, int]:
-    """``IP:PORT``; a host's name would be looked up, which nobody here is meant to do."""
+    """Parse ``IP:PORT``; host names are rejected, since they would need a DNS lookup."""
     host, _, port = text.rpartition(":")
     ipaddress.ip_address(host)
     if int(port) not in PORTS:
-        raise ValueError(f"{port} is no port")
+        raise ValueError(f"{port} is not a valid port")
     return host, int(port)
--- a/src/guavacleat/platform/headers.py
+++ b/src/guavacleat/platform/headers.py
@@ -1,4 +1,4 @@
-"""Header names on the platform, and what the product's requests and answers say in them."""
+"""Encodes and decodes the platform's request and response headers."""
 
 from guavacleat.addresses import format_address
 from guavacleat.forwarding.messages import (
@@ -31,21 +31,21 @@
 TOKENS = b"token-usage"
 LENGTH_HINT = b"length-hint"
 RETRY_AFTER = b"retry-after"
-MS = 1000
-# Set by the system alone: what a caller sends under these names is dropped.
-OWNED = {KEY, ACCOUNT, PRIORITY, DEADLINE, b"hold", b"pin-ms"}
-OWNED_PREFIXES = (b"kv-", b"expect-")
+MS_PER_SECOND = 1000
+# Headers that only the gateway may set; those from callers are dropped.
+RESERVED_HEADERS = {KEY, ACCOUNT, PRIORITY, DEADLINE, b"hold", b"pin-ms"}
+RESERVED_PREFIXES = (b"kv-", b"expect-")
 
 
 def parse_request_metadata(headers: list[tuple[bytes, bytes]]) -> RequestMetadata:
-    """Decode what a caller says of its request."""
+    """Decode the metadata of a caller's request."""
     values = dict(headers)
     deadline_ms = parse_number(values.get(DEADLINE))
     usage = [parse_token_count(part) for part in values.get(TOKENS, b"").split(b",")]
     return RequestMetadata(
         id=values.get(REQUEST_ID, b"").decode("latin-1"),
         key=values.get(KEY, b"").decode("latin-1"),
-        caller_timeout=None if deadline_ms is None else max(0.0, deadline_ms / MS),
+        caller_timeout=None if deadline_ms is None else max(0.0, deadline_ms / MS_PER_SECOND),
         prompt_tokens=usage[0],
         max_output_tokens=usage[1] if len(usage) > 1 else 0,
         expected_output_tokens=parse_number(values.get(LENGTH_HINT)),
@@ -62,30 +62,30 @@
 def endpoint_headers(
     headers: list[tuple[bytes, bytes]], metadata: ForwardingMetadata
 ) -> list[tuple[bytes, bytes]]:
-    """The caller's headers as an endpoint gets them, with those that the system sets."""
-    kept = [
+    """Headers to send to an endpoint: the caller's, and those that the gateway sets."""
+    result = [
         (name, value)
         for name, value in headers
-        if name not in OWNED and not name.startswith(OWNED_PREFIXES)
+        if name not in RESERVED_HEADERS and not name.startswith(RESERVED_PREFIXES)
     ]
     if metadata.resume is not None:
-        kept = [(name, value) for name, value in kept if name != LAST_EVENT]
+        result = [(name, value) for name, value in result if name != LAST_EVENT]
         source = f"{format_address(metadata.resume.source)}/{metadata.resume.handle}"
-        kept.append((COPY_SOURCE, source.encode()))
-        kept.append((LAST_EVENT, b"%d" % metadata.resume.last_event))
+        result.append((COPY_SOURCE, source.encode()))
+        result.append((LAST_EVENT, b"%d" % metadata.resume.last_event))
     if metadata.account is not None:
-        kept.append((ACCOUNT, metadata.account.encode("latin-1")))
+        result.append((ACCOUNT, metadata.account.encode("latin-1")))
     if metadata.priority is not None:
-        kept.append((PRIORITY, b"%d" % metadata.priority))
+        result.append((PRIORITY, b"%d" % metadata.priority))
     if metadata.backup_target is not None:
-        kept.append((COPY_TARGET, format_address(metadata.backup_target).encode()))
-    kept.append((INCARNATION, metadata.incarnation.encode("latin-1")))
-    kept.append((DEADLINE, b"%d" % max(1, int(metadata.time_left * MS))))
-    return kept
+        result.append((COPY_TARGET, format_address(metadata.backup_target).encode()))
+    result.append((INCARNATION, metadata.incarnation.encode("latin-1")))
+    result.append((DEADLINE, b"%d" % max(1, int(metadata.time_left * MS_PER_SECOND))))
+    return result
 
 
 def parse_response_metadata(headers: list[tuple[bytes, bytes]]) -> ResponseMetadata:
-    """Decode what an endpoint says of its answer."""
+    """Decode the metadata of an endpoint's response."""
     values = dict(headers)
     return ResponseMetadata(
         request_id=values.get(REQUEST_ID, b"").decode("latin-1") if REQUEST_ID in values else None,
@@ -96,7 +96,7 @@
 
 
 def refusal_headers(request_id: str, retry_after: float | None) -> list[tuple[bytes, bytes]]:
-    """Headers of an answer of the system's own; ``retry_after`` in seconds."""
+    """Headers of a response that the gateway generates; ``retry_after`` is in seconds."""
     headers = [(REQUEST_ID, request_id.encode("latin-1"))] if request_id else []
     if retry_after is not None:
         headers.append((RETRY_AFTER, b"%.3f" % retry_after))
--- a/src/guavacleat/platform/objects.py
+++ b/src/guavacleat/platform/objects.py
@@ -1,4 +1,4 @@
-"""The platform's form of the object API, as a dialect of the product's store client."""
+"""The platform's object API, as a dialect of the store client."""
 
 from urllib.parse import quote
 
@@ -11,11 +11,11 @@
 CONFIG_KIND = "config"
 CONFIG_NAME = "main"
 ENDPOINT_KIND = "servers"
-MS = 1000
+MS_PER_SECOND = 1000
 
 
 class PlatformDialect:
-    """Objects are ``{metadata, spec, status}``; versions are the store's revisions."""
+    """Objects are ``{metadata, spec, status}``; an object's version is its store revision."""
 
     era_header = "store-era"
 
@@ -27,7 +27,7 @@
         return f"/-/objects/{quote(kind)}{query}"
 
     def watch_path(self, kind: str, since: int, wait: float) -> str:
-        return f"/-/objects/{quote(kind)}?watch={since}&waitMs={int(wait * MS)}"
+        return f"/-/objects/{quote(kind)}?watch={since}&waitMs={int(wait * MS_PER_SECOND)}"
 
     def encode_put(self, kind: str, name: str, value, expected_version: int):
         """Return method, path and body of a conditional write."""
@@ -45,26 +45,26 @@
         )
 
     def conflicting_version(self, body: dict) -> int:
-        """A conflict is answered with the object as it is."""
+        """The current version from a conflict response, which contains the stored object."""
         body = body.get("object", body)
         return (body.get("metadata") or {}).get("revision", MUST_NOT_EXIST)
 
     def decode_listing(self, kind: str, body: dict):
-        """Return a :class:`WatchBatch` and the name to go on after, None at the end."""
+        """Return a :class:`WatchBatch` and the name to list after next, None at the end."""
         items = body["items"]
-        objects = self._readable(kind, ((item, False) for item in items))
+        objects = self._decode_all(kind, ((item, False) for item in items))
         more = body.get("hasMore") and items
         return WatchBatch(body["storeRevision"], objects), _last_name(items) if more else None
 
     def decode_changes(self, kind: str, body: dict) -> WatchBatch:
         events = ((event.get("object"), bool(event.get("tombstone"))) for event in body["events"])
-        return WatchBatch(body["storeRevision"], self._readable(kind, events))
+        return WatchBatch(body["storeRevision"], self._decode_all(kind, events))
 
-    def _readable(self, kind: str, items) -> list[StoredObject]:
-        """Decode ``(object, deleted)`` pairs, leaving out what is not as described.
+    def _decode_all(self, kind: str, items) -> list[StoredObject]:
+        """Decode ``(object, deleted)`` pairs, skipping invalid objects.
 
-        Let through as an error, one such object would fail each later call that brings it again:
-        a watch would never hear of any change after it.
+        Raising an exception would fail every later response that contains the object again, and
+        the watch would receive no more changes.
         """
         decoded = (self._try_decode(kind, item, deleted) for item, deleted in items)
         return [stored for stored in decoded if stored is not None]
@@ -78,5 +78,5 @@
 
 
 def _last_name(items: list[dict]) -> str:
-    """The name after which a listing goes on."""
+    """The name after which the next page of a listing starts."""
     return items[-1]["metadata"]["name"]
--- a/src/guavacleat/platform/settings.py
+++ b/src/guavacleat/platform/settings.py
@@ -1,4 +1,4 @@
-"""The settings file that the platform lays for each process: lines of ``dotted.key=value``."""
+"""The platform's settings file of a process, with lines of ``dotted.key=value``."""
 
 import os
 
@@ -12,12 +12,12 @@
 
 
 def settings_path() -> str:
-    """Where the platform laid this process's settings file."""
+    """Path of this process's settings file."""
     return os.environ.get(SETTINGS_VARIABLE, DEFAULT_PATH)
 
 
 def load_process_settings(path: str) -> ProcessSettings:
-    """Read and check the file; raise SettingsError naming the key and the remedy."""
+    """Read and validate the file; raise SettingsError if it is invalid."""
     try:
         with open(path, encoding="utf-8") as file:
             return parse_process_settings(file.read())
@@ -29,7 +29,7 @@
 
 
 def parse_process_settings(text: str) -> ProcessSettings:
-    """Decode the text; keys this release does not know are ignored."""
+    """Parse the text; unknown keys are ignored."""
     values = _Values(text)
     return ProcessSettings(
         instance=values.text("nodeName"),
@@ -56,7 +56,7 @@
 
 
 class _Values:
-    """The file's values by dotted key, with one typed reader for each shape of value."""
+    """The file's values by dotted key, with a method for each type of value."""
 
     def __init__(self, text: str):
         pairs = (line.partition("=") for line in text.splitlines() if "=" in line)
@@ -83,7 +83,7 @@
         return self._to_number(key, value) if value else default
 
     def port_range(self, key: str) -> range:
-        """The ports from the first to the last that the value names, both included."""
+        """Parse ``FIRST,LAST`` as an inclusive range of ports."""
         ports = [int(self._to_number(key, value)) for value in self.text(key).split(",")]
         return range(ports[0], ports[-1] + 1)
 
--- a/src/guavacleat/platform/wire.py
+++ b/src/guavacleat/platform/wire.py
@@ -1,4 +1,4 @@
-"""The platform's names behind the interface that the forwarding uses."""
+"""Implements the forwarding package's wire interface for the platform."""
 
 from guavacleat.forwarding.wire import Wire
 from guavacleat.platform import engines, headers
@@ -19,4 +19,4 @@
     decode_status = staticmethod(engines.decode_status)
 
     def encode_status_request(self):
-        return engines.STATUS_QUESTION
+        return engines.STATUS_REQUEST
--- a/tests/platform/store_standin.py
+++ b/tests/platform/store_standin.py
@@ -1,11 +1,11 @@
-"""Stand-in for the platform's store: objects with revisions, paging, watches, faults."""
+"""Stand-in for the platform's store, with revisions, paging, watches and faults."""
 
 import json
 from urllib.parse import parse_qs, urlsplit
 
 from twisted.internet import defer, task
 
-PAGE = 3
+PAGE_SIZE = 3
 
 
 class Reply:
@@ -22,20 +22,20 @@
 
 
 class StoreStandin:
-    """Answers like treq's ``request``.
+    """HTTP client like treq, with the store behind it.
 
-    :param fault: what the next calls meet: ``None``, ``"busy"`` (429), ``"down"`` (503),
-        ``"lost"`` (done, then no answer), ``"silent"`` (no answer), ``"garbled"``, ``"slow"``
-        (done, and answered ``delay`` seconds later by ``clock``, unless the caller gave up).
+    :ivar fault: fault of the next calls: ``None``, ``"busy"`` (429), ``"down"`` (503), ``"lost"``
+        (applied, but no response), ``"silent"`` (not applied, no response), ``"garbled"``, or
+        ``"slow"`` (applied, with a response after ``delay`` seconds or a timeout).
     """
 
     def __init__(self, clock=None):
         self.clock = clock
         self.delay = 0.0
         self.era = 0
-        self.copied = (0, {})
+        self.backup = (0, {})
         self.revision = 0
-        self.forgotten = 0
+        self.compacted_revision = 0
         self.objects = {}
         self.history = []
         self.fault = None
@@ -43,52 +43,52 @@
         self.waiting = []
 
     def write(self, kind, name, spec):
-        """A change by somebody else."""
+        """Write an object as another client."""
         self.revision += 1
-        made = self.objects.get((kind, name), {}).get("metadata", {}).get("createdAt")
+        created = self.objects.get((kind, name), {}).get("metadata", {}).get("createdAt")
         self.objects[kind, name] = {
             "metadata": {
                 "name": name,
                 "revision": self.revision,
-                "createdAt": made or self.revision,
+                "createdAt": created or self.revision,
                 "finalizers": [],
                 "deletionPending": False,
             },
             "spec": spec,
             "status": None,
         }
-        self._note(kind, name, False)
+        self._record_change(kind, name, False)
 
     def delete(self, kind, name):
         self.revision += 1
         self.objects[kind, name]["metadata"]["revision"] = self.revision
-        self._note(kind, name, True)
+        self._record_change(kind, name, True)
         del self.objects[kind, name]
 
-    def forget(self):
-        """Drop the history."""
-        self.forgotten = self.revision
+    def compact_history(self):
+        """Discard the history, so that watches of earlier revisions fail with 410."""
+        self.compacted_revision = self.revision
 
     def copy(self):
-        """Keep a copy of all objects."""
-        self.copied = (self.revision, json.dumps(list(self.objects.items())))
+        """Make a backup of all objects."""
+        self.backup = (self.revision, json.dumps(list(self.objects.items())))
 
     def restore(self):
-        """Come back from the copy, with its revisions; watches that wait are cut off."""
+        """Restore the backup with its revisions; pending watches fail."""
         self.era += 1
-        self.revision, objects = self.copied
+        self.revision, objects = self.backup
         self.objects = {tuple(key): value for key, value in json.loads(objects)}
         self.history = [change for change in self.history if change[0] <= self.revision]
         waiting, self.waiting = self.waiting, []
-        for _, _, answer in waiting:
-            answer.errback(ConnectionError("cut off"))
+        for _, _, response in waiting:
+            response.errback(ConnectionError("cut off"))
 
-    def _note(self, kind, name, gone):
-        event = {"object": json.loads(json.dumps(self.objects[kind, name])), "tombstone": gone}
+    def _record_change(self, kind, name, deleted):
+        event = {"object": json.loads(json.dumps(self.objects[kind, name])), "tombstone": deleted}
         self.history.append((self.revision, kind, event))
         waiting, self.waiting = self.waiting, []
-        for kind, since, answer in waiting:
-            answer.callback(self._changes(kind, since))
+        for kind, since, response in waiting:
+            response.callback(self._changes(kind, since))
 
     def request(self, method, url, data=None, timeout=None, max_body_bytes=None):
         del max_body_bytes
@@ -101,20 +101,20 @@
             return defer.fail(TimeoutError())
         if self.fault == "garbled":
             return defer.succeed(Reply(200, b"<html>"))
-        answer = self._handle(method, url, data)
+        response = self._handle(method, url, data)
         if self.fault == "lost":
             return defer.fail(ConnectionError("no answer"))
         if self.fault == "slow":
-            return self._late(answer, timeout)
-        return answer
+            return self._delayed(response, timeout)
+        return response
 
-    def _late(self, answer, timeout):
+    def _delayed(self, response, timeout):
         if timeout is not None and self.delay >= timeout:
-            return task.deferLater(self.clock, timeout, self._give_up)
-        return task.deferLater(self.clock, self.delay, lambda: answer)
+            return task.deferLater(self.clock, timeout, self._time_out)
+        return task.deferLater(self.clock, self.delay, lambda: response)
 
     @staticmethod
-    def _give_up():
+    def _time_out():
         raise TimeoutError
 
     def _handle(self, method, url, data):
@@ -124,40 +124,46 @@
         if method in ("POST", "PUT"):
             return defer.succeed(self._write(method, names, json.loads(data)))
         if len(names) == 2:
-            found = self.objects.get(tuple(names))
-            return defer.succeed(self._reply(200 if found else 404, found or {}))
+            stored = self.objects.get(tuple(names))
+            return defer.succeed(self._reply(200 if stored else 404, stored or {}))
         if "watch" in query:
             return self._watch(names[0], int(query["watch"]))
         return defer.succeed(self._list(names[0], query.get("after", "")))
 
     def _write(self, method, names, body):
         kind, name = names[0], body["metadata"]["name"]
-        found = self.objects.get((kind, name))
-        if method == "POST" and found:
-            return self._reply(409, found)
-        if method == "PUT" and body["metadata"]["revision"] != found["metadata"]["revision"]:
-            return self._reply(409, found)
+        stored = self.objects.get((kind, name))
+        if method == "POST" and stored:
+            return self._reply(409, stored)
+        if method == "PUT" and body["metadata"]["revision"] != stored["metadata"]["revision"]:
+            return self._reply(409, stored)
         self.write(kind, name, body["spec"])
         return self._reply(200, self.objects[kind, name])
 
     def _watch(self, kind, since):
-        if since < self.forgotten or since > self.revision:
+        if since < self.compacted_revision or since > self.revision:
             return defer.succeed(self._reply(410, {}))
-        answer = self._changes(kind, since)
-        if json.loads(answer.body)["events"]:
-            return defer.succeed(answer)
+        response = self._changes(kind, since)
+        if json.loads(response.body)["events"]:
+            return defer.succeed(response)
         waiter = defer.Deferred()
         self.waiting.append((kind, since, waiter))
         return waiter
 
     def _changes(self, kind, since):
-        events = [event for at, of, event in self.history if at > since and of == kind]
+        events = [
+            event
+            for event_revision, event_kind, event in self.history
+            if event_revision > since and event_kind == kind
+        ]
         return self._reply(200, {"events": events, "storeRevision": self.revision})
 
     def _list(self, kind, after):
-        names = sorted(name for of, name in self.objects if of == kind and name > after)
-        items = [self.objects[kind, name] for name in names[:PAGE]]
-        more = len(names) > PAGE
+        names = sorted(
+            name for event_kind, name in self.objects if event_kind == kind and name > after
+        )
+        items = [self.objects[kind, name] for name in names[:PAGE_SIZE]]
+        more = len(names) > PAGE_SIZE
         return self._reply(200, {"items": items, "hasMore": more, "storeRevision": self.revision})
 
     def _reply(self, code, body):
--- a/tests/platform/test_decode.py
+++ b/tests/platform/test_decode.py
@@ -1,4 +1,4 @@
-"""Wire to types: configuration, endpoint entries, headers, moves; any input, never a crash."""
+"""Decoding of configurations, endpoint entries, headers and engine calls, also invalid ones."""
 
 import contextlib
 import json
@@ -63,12 +63,8 @@
 }
 
 
-def test_a_version_may_be_a_float_where_floats_are_exact():
-    """
-    Symptom: every later configuration is ignored.
-    Sequence: a version comes as a float that also stands for its neighbours, and is read too high.
-    Cause: beyond 2**53 - 1 a float does not say which whole number was written.
-    """
+def test_float_version_must_be_exact():
+    """A float above 2**53 - 1 may be higher than the intended version and block later ones."""
     for version in (7.0, float(2**53 - 1), 2**53 + 1):
         assert decode_configuration({**CONFIGURATION, "version": version}).version == version
     for version in (float(2**53), 1e300, 7.5, math.inf, True, "7", None):
@@ -76,7 +72,7 @@
             decode_configuration({**CONFIGURATION, "version": version})
 
 
-def test_configuration_in_seconds_and_types():
+def test_configuration_is_decoded():
     table = decode_configuration(CONFIGURATION)
     stream = table.match("ficu95.example", "/lohu930/2f")
     plain = table.match("ficu95.example", "/lohu930/pufi/x")
@@ -95,33 +91,33 @@
     assert (table.limits.idle_timeout, table.limits.header_timeout) == (15.0, 3.0)
 
 
-def test_an_unknown_kind_is_run_once_at_most():
+def test_unknown_kind_is_not_idempotent():
     route = {**CONFIGURATION["routes"][1], "kind": "something-new"}
     table = decode_configuration({**CONFIGURATION, "routes": [route]})
     assert table.match("ficu95.example", "/lohu930/pufi/").kind is RequestKind.NON_IDEMPOTENT
 
 
-def test_without_accounts_no_key_is_asked():
+def test_key_is_required_only_with_accounts():
     spec = {key: value for key, value in CONFIGURATION.items() if key != "tenants"}
     assert not decode_configuration(spec).requires_key
     assert decode_configuration(CONFIGURATION).requires_key
 
 
-def test_an_endpoint_in_any_state_but_ready_takes_no_new_work():
+def test_endpoint_states():
     spec = {"service": "a", "address": "10.1.2.3:80", "zone": "z", "slots": 24, "state": "ready"}
     assert decode_endpoint("i-1", spec, 1).state is EndpointState.READY
     assert decode_endpoint("i-1", spec, 1).address == ("10.1.2.3", 80)
     assert decode_endpoint("i-1", {**spec, "state": "draining"}, 1).state is EndpointState.DRAINING
-    # Not leaving either: streams on it need not be moved because of what another writer wrote.
+    # Not draining: an invalid state must not cause streams to be moved.
     assert decode_endpoint("i-1", {**spec, "state": "odd"}, 1).state is EndpointState.UNUSABLE
 
 
 READY_SPEC = {"service": "a", "address": "10.1.2.3:80", "zone": "z", "slots": 24, "state": "ready"}
-WITHOUT = object()
-FOREIGN_FIELDS = [
-    ("service", WITHOUT),
+MISSING = object()
+INVALID_FIELDS = [
+    ("service", MISSING),
     ("service", 7),
-    ("address", WITHOUT),
+    ("address", MISSING),
     ("address", None),
     ("address", "10.1.2.3"),
     ("address", "10.1.2.3:none"),
@@ -132,7 +128,7 @@
     ("zone", 3),
     ("slots", "many"),
     ("slots", True),
-    ("state", WITHOUT),
+    ("state", MISSING),
     ("state", None),
     ("state", ["ready"]),
     ("born", "yesterday"),
@@ -140,22 +136,18 @@
 ]
 
 
-@pytest.mark.parametrize("field,value", FOREIGN_FIELDS)
-def test_an_entry_of_another_writer_is_refused_whole(field, value):
-    """
-    Symptom: a gateway fails with every request, or looks up a host's name.
-    Sequence: somebody else writes an entry with a field missing or of another type.
-    Cause: what is let through here is used with every request.
-    """
+@pytest.mark.parametrize("field,value", INVALID_FIELDS)
+def test_invalid_entry_is_rejected(field, value):
+    """Guards against exceptions while requests are routed, and against DNS lookups."""
     spec = {**READY_SPEC, field: value}
-    if value is WITHOUT:
+    if value is MISSING:
         del spec[field]
     with pytest.raises((KeyError, ValueError, TypeError, AttributeError)):
         decode_endpoint("i-1", spec, 1)
 
 
 @pytest.mark.parametrize("spec", [None, "bytes", 5, [], [READY_SPEC]])
-def test_an_entry_that_is_no_map_is_refused(spec):
+def test_entry_that_is_not_an_object_is_rejected(spec):
     with pytest.raises((KeyError, ValueError, TypeError, AttributeError)):
         decode_endpoint("i-1", spec, 1)
 
@@ -168,20 +160,20 @@
 
 
 @given(st.dictionaries(st.sampled_from([*READY_SPEC, "born"]), JSON_VALUES))
-def test_any_entry_is_decoded_or_refused(changed):
+def test_any_entry_is_decoded_or_rejected(changed):
     with contextlib.suppress(KeyError, ValueError, TypeError, AttributeError):
         found = decode_endpoint("i-1", {**READY_SPEC, **changed}, 1)
         assert found.started_ms is None or isinstance(found.started_ms, int)
 
 
-def test_the_start_of_an_endpoint_is_read():
+def test_start_time_of_an_endpoint_is_decoded():
     assert decode_endpoint("i-1", READY_SPEC, 1).started_ms is None
     assert decode_endpoint("i-1", {**READY_SPEC, "born": 1778085760007}, 1).started_ms == (
         1778085760007
     )
 
 
-FORGED = [
+RESERVED_HEADERS = [
     (b"hold", b"1"),
     (b"pin-ms", b"4000"),
     (b"kv-backup", b"10.0.0.1:1"),
@@ -197,13 +189,9 @@
 ]
 
 
-@pytest.mark.parametrize("name,value", FORGED)
-def test_headers_that_the_system_owns_never_pass_from_a_caller(name, value):
-    """
-    Symptom: an engine's memory fills with pins that nobody in the system asked for.
-    Sequence: a caller sends a header that is the system's to set.
-    Cause: forwarding what callers send would obey it.
-    """
+@pytest.mark.parametrize("name,value", RESERVED_HEADERS)
+def test_reserved_headers_of_callers_are_dropped(name, value):
+    """Guards against callers that control engines, such as by pinning memory."""
     metadata = ForwardingMetadata("i-1", 1.5, account="t1")
     headers = endpoint_headers([(name, value), (b"x-own", b"kept")], metadata)
     assert (name, value) not in headers
@@ -214,14 +202,14 @@
     assert values[b"deadline-ms"] == b"1500"
 
 
-def test_a_resumed_request_names_its_copy_and_last_event():
+def test_resumed_request_has_its_copy_and_last_event():
     metadata = ForwardingMetadata("i-1", 1.5, resume=ResumePoint(("10.0.0.1", 80), "h7", 42))
     values = dict(endpoint_headers([(b"last-event-id", b"1")], metadata))
     assert values[b"kv-from"] == b"10.0.0.1:80/h7"
     assert values[b"last-event-id"] == b"42"
 
 
-def test_caller_facts_are_decoded():
+def test_request_metadata_is_decoded():
     metadata = parse_request_metadata(
         [
             (b"attempt-id", b"r1"),
@@ -241,14 +229,14 @@
     ]
 
 
-def test_answer_facts_are_decoded():
+def test_response_metadata_is_decoded():
     metadata = parse_response_metadata([(b"attempt-id", b"r1"), (b"response-seal", b"s")])
     assert (metadata.request_id, metadata.signed, metadata.not_run) == ("r1", True, False)
     assert parse_response_metadata([(b"not-executed", b"1")]).not_run
     assert parse_response_metadata([(b"content-encoding", b"gzip")]).encoded
 
 
-def test_a_refusal_names_the_request_and_when_to_come_back():
+def test_refusal_has_the_request_id_and_retry_after():
     assert dict(refusal_headers("r1", 0.5)) == {b"attempt-id": b"r1", b"retry-after": b"0.500"}
     assert refusal_headers("", None) == []
 
@@ -262,7 +250,7 @@
 
 
 @given(st.integers(100, 599), st.binary(max_size=60))
-def test_any_move_answer_decodes(status, body):
+def test_any_move_response_decodes(status, body):
     decode_move(status, body)
 
 
@@ -271,22 +259,20 @@
 
 @pytest.mark.parametrize("number", ODD_NUMBERS)
 @pytest.mark.parametrize("name", [b"token-usage", b"length-hint", b"deadline-ms", b"prompt-prefix"])
-def test_no_callers_number_breaks_what_gateways_tell_each_other(name, number):
-    """
-    Symptom: gateways no longer know of each other's load, after one caller's request.
-    Sequence: a caller says that its prompt has 10^40 tokens.
-    Cause: the sum went beyond what a report can carry, and writing reports ended with an error.
-    """
+def test_extreme_numbers_of_callers_do_not_break_peer_reports(name, number):
+    """Guards against load totals that overflow the fields of a report and stop all reports."""
     value = number + b"," + number if name == b"token-usage" else number
     metadata = parse_request_metadata(
         [(name, b"ab:" + number if name == b"prompt-prefix" else value)]
     )
-    held = LengthForecast(metadata.max_output_tokens or 1).expected_length(
+    expected_output = LengthForecast(metadata.max_output_tokens or 1).expected_length(
         0, metadata.expected_output_tokens
     )
-    load = EndpointLoad(1, metadata.prompt_tokens + held, metadata.prompt_tokens)
+    load = EndpointLoad(1, metadata.prompt_tokens + expected_output, metadata.prompt_tokens)
     decoded = decode_report(encode_report(GatewayReport("g", 1, 1, {"e": load})))
-    assert decoded.loads_by_endpoint["e"].peak_tokens == metadata.prompt_tokens + held >= 0
+    assert (
+        decoded.loads_by_endpoint["e"].peak_tokens == metadata.prompt_tokens + expected_output >= 0
+    )
     assert metadata.caller_timeout is None or 0 <= metadata.caller_timeout < float("inf")
 
 
@@ -301,14 +287,14 @@
     )
 )
 def test_any_header_values_decode(headers):
-    """Callers may send anything: what cannot be read counts as not said."""
+    """Invalid values are treated as missing."""
     metadata = parse_request_metadata(headers)
     assert metadata.caller_timeout is None or metadata.caller_timeout >= 0
     parse_response_metadata(headers)
 
 
-def test_parts_that_are_null_or_written_as_floats_are_taken():
-    """What is left out, null or written as 2.0 must not make a good configuration unreadable."""
+def test_null_and_float_values_are_accepted():
+    """Nulls, missing values and integers written as floats must not invalidate a configuration."""
     route = {**CONFIGURATION["routes"][1], "maxAttempts": 2.0, "priority": None}
     limits = {"maxBodyBytes": 4096.0, "idleTimeoutMs": None}
     table = decode_configuration({**CONFIGURATION, "routes": [route], "limits": limits})
@@ -330,6 +316,6 @@
 
 
 @pytest.mark.parametrize("status, body, leaving, leaves_in", REPORTS)
-def test_an_engines_report_says_whether_it_leaves(status, body, leaving, leaves_in):
+def test_engine_status_is_decoded(status, body, leaving, leaves_in):
     found = decode_status(status, body)
     assert (found.leaving, found.leaves_in) == (leaving, leaves_in)
--- a/tests/platform/test_fuzz.py
+++ b/tests/platform/test_fuzz.py
@@ -1,4 +1,4 @@
-"""Whatever operators, engines, the store or the platform write: a typed value or a known error."""
+"""Fuzzing: any input is decoded to a valid value or raises a documented exception."""
 
 import copy
 import json
@@ -27,12 +27,12 @@
     max_leaves=8,
 )
 ENDPOINT = {"service": "a", "address": "10.0.0.1:80", "zone": "z", "slots": 6, "state": "ready"}
-# What a decoder may raise of a spec that is not as described; the watch loop tells it in a line.
-BAD_SPEC = (KeyError, ValueError, TypeError, AttributeError, IndexError)
+# Exceptions that a decoder may raise for an invalid spec; the watch loop logs them.
+DECODE_ERRORS = (KeyError, ValueError, TypeError, AttributeError, IndexError)
 
 
 def paths(value, path=()):
-    """Where each value inside a JSON value stands."""
+    """Yield the path of each value nested in a JSON value."""
     items = value.items() if isinstance(value, dict) else enumerate(value)
     for key, inner in items:
         yield (*path, key)
@@ -41,50 +41,45 @@
 
 
 @st.composite
-def spoilt(draw, value):
-    """``value`` with one part of it replaced or left out."""
+def corrupted(draw, value):
+    """``value`` with one nested value replaced or removed."""
     value = copy.deepcopy(value)
-    *way, last = draw(st.sampled_from(list(paths(value))))
-    place = value
-    for key in way:
-        place = place[key]
+    *parents, last = draw(st.sampled_from(list(paths(value))))
+    container = value
+    for key in parents:
+        container = container[key]
     if draw(st.booleans()):
-        place[last] = draw(JSON)
+        container[last] = draw(JSON)
     else:
-        del place[last]
+        del container[last]
     return value
 
 
-@given(spoilt(CONFIGURATION) | JSON)
-def test_any_configuration_is_decoded_or_refused(spec):
+@given(corrupted(CONFIGURATION) | JSON)
+def test_any_configuration_is_decoded_or_rejected(spec):
     try:
         table = decode_configuration(spec)
-    except BAD_SPEC:
+    except DECODE_ERRORS:
         return
     table.match("ficu95.example", "/lohu930/x")
 
 
-@given(spoilt(ENDPOINT) | JSON)
-def test_any_endpoint_entry_is_decoded_or_refused(spec):
+@given(corrupted(ENDPOINT) | JSON)
+def test_any_endpoint_entry_is_decoded_or_rejected(spec):
     try:
         entry = decode_endpoint("e1", spec, 1)
-    except BAD_SPEC:
+    except DECODE_ERRORS:
         return
     assert entry.id == "e1" and len(entry.address) == 2
 
 
 @example([{**CONFIGURATION, "version": None}])
 @example([{**CONFIGURATION, "version": "8"}])
-# A whole number written as a float is that number, here above the one that follows.
+# A version written as a float, which is higher than the version that follows.
 @example([{**CONFIGURATION, "version": 1099511627777.0}])
-@given(st.lists(spoilt(CONFIGURATION) | JSON, max_size=5))
-def test_after_any_configurations_a_good_one_comes_into_force(specs):
-    """
-    Symptom: a gateway stays with an old configuration for good.
-    Sequence: versions that cannot be read are written, then a good one, newer than all that came
-    into force.
-    Cause: an object that nobody can read must not end the watch.
-    """
+@given(st.lists(corrupted(CONFIGURATION) | JSON, max_size=5))
+def test_valid_configuration_is_applied_after_invalid_ones(specs):
+    """Guards against a watch that ends at an invalid object and keeps an old configuration."""
     clock, standin, holder = Clock(), StoreStandin(), RouteHolder()
     client = StoreClient("http://store", http=standin, dialect=PlatformDialect())
     offer = lambda stored: holder.offer(decode_configuration(stored.value))  # noqa: E731
@@ -98,8 +93,8 @@
     assert holder.table.version == good
 
 
-@given(st.lists(spoilt(ENDPOINT) | JSON, max_size=5))
-def test_after_any_entries_a_good_endpoint_is_known(specs):
+@given(st.lists(corrupted(ENDPOINT) | JSON, max_size=5))
+def test_valid_endpoint_entry_is_used_after_invalid_ones(specs):
     clock, standin = Clock(), StoreStandin()
     registry = EndpointRegistry(clock)
     client = StoreClient("http://store", http=standin, dialect=PlatformDialect())
@@ -115,18 +110,18 @@
 
 
 @given(st.binary(max_size=60) | JSON.map(lambda value: json.dumps(value).encode()))
-def test_any_answer_of_the_store_is_an_answer_or_none(body):
+def test_any_store_response_is_decoded_or_raises_a_known_error(body):
     for code in (200, 409, 410, 429, 500):
         standin = StoreStandin()
         standin.request = lambda *_, code=code, **__: defer.succeed(Reply(code, body))
         client = StoreClient("http://store", http=standin, dialect=PlatformDialect())
         for call in (client.list_objects("servers"), client.get("servers", "e1")):
-            call.addErrback(lambda failure: failure.trap(*BAD_SPEC, StoreUnavailableError))
+            call.addErrback(lambda failure: failure.trap(*DECODE_ERRORS, StoreUnavailableError))
             call.addErrback(lambda failure: pytest.fail(repr(failure.value)))
 
 
 @given(st.text(max_size=200) | st.lists(st.sampled_from(SETTINGS_TEXT.splitlines())).map("\n".join))
-def test_any_settings_file_is_read_or_refused_with_a_remedy(text):
+def test_any_settings_file_is_parsed_or_rejected_with_a_remedy(text):
     try:
         settings = parse_process_settings(text)
     except SettingsError as error:
--- a/tests/platform/test_settings.py
+++ b/tests/platform/test_settings.py
@@ -1,4 +1,4 @@
-"""The platform's settings file: what is needed, what is ignored, and errors that name the key."""
+"""The platform's settings file: required keys, unknown keys and error messages."""
 
 import pytest
 
@@ -24,7 +24,7 @@
     return "\n".join(line for line in SETTINGS_TEXT.splitlines() if not line.startswith(key + "="))
 
 
-def test_the_file_becomes_typed_settings():
+def test_settings_are_parsed():
     settings = parse_process_settings(SETTINGS_TEXT)
     assert settings.instance == "front-nasr-a-1"
     assert settings.data_centre == "nasr-a"
@@ -38,7 +38,7 @@
     "key",
     ["nodeName", "ip", "zone", "listen.front", "listen.ready", "internalPorts", "platform.address"],
 )
-def test_a_missing_field_is_named_with_its_remedy(key):
+def test_error_names_the_missing_key(key):
     with pytest.raises(SettingsError) as caught:
         parse_process_settings(without(key))
     assert key in caught.value.problem
@@ -48,12 +48,12 @@
 @pytest.mark.parametrize(
     "line", ["listen.front=nowhere", "bounds.graceS=soon", "internalPorts=a,b"]
 )
-def test_a_bad_value_is_named(line):
+def test_error_names_the_invalid_value(line):
     key = line.partition("=")[0]
     with pytest.raises(SettingsError, match=key):
         parse_process_settings(without(key) + "\n" + line)
 
 
-def test_an_unreadable_file_is_named(tmp_path):
+def test_error_names_the_unreadable_file(tmp_path):
     with pytest.raises(SettingsError, match="node.conf"):
         load_process_settings(str(tmp_path / "node.conf"))
