--- a/src/guavacleat/addresses.py
+++ b/src/guavacleat/addresses.py
@@ -1,9 +1,9 @@
-"""Addresses as text."""
+"""Formatting of network addresses."""
 
 __all__ = ["format_address"]
 
 
 def format_address(address: tuple[str, int]) -> str:
-    """``ip:port`` of an ``(ip, port)`` pair."""
+    """Format an ``(ip, port)`` pair as ``ip:port``."""
     host, port = address
     return f"{host}:{port}"
--- a/src/guavacleat/errors.py
+++ b/src/guavacleat/errors.py
@@ -1,18 +1,17 @@
-"""Base error kinds shared by every slice.
+"""Base exception classes of the package.
 
-Each error carries a remedy: a sentence telling the reader what to do about it. Slices subclass
-these kinds rather than raising bare exceptions, so a caller can branch on the kind and an
-operator always reads what to change.
+Each exception has a remedy, a sentence that tells the operator what to change. Subpackages raise
+subclasses of these, so that callers can catch them by type.
 """
 
 __all__ = ["GuavacleatError", "SettingsError", "StoreError", "NotRunError"]
 
 
 class GuavacleatError(Exception):
-    """Root of every error this package raises on purpose.
+    """Base class of the package's own exceptions.
 
     :param problem: what went wrong, in one sentence.
-    :param remedy: what the reader should do about it, in one sentence.
+    :param remedy: what the operator should do about it, in one sentence.
     """
 
     def __init__(self, problem: str, remedy: str):
@@ -22,17 +21,17 @@
 
 
 class SettingsError(GuavacleatError):
-    """A settings file or flag is malformed or inconsistent; nothing of it was applied."""
+    """A settings file or flag is malformed or inconsistent; none of it was applied."""
 
 
 class StoreError(GuavacleatError):
-    """The platform's object API refused, timed out or could not be reached."""
+    """The platform's object API rejected a call, timed out or was unreachable."""
 
 
 class NotRunError(GuavacleatError):
-    """A request was refused before any engine started it.
+    """A request was rejected before any engine started it.
 
-    :param retry_after: seconds after which the caller may send it again.
+    :param retry_after: seconds after which the caller may retry.
     """
 
     def __init__(self, problem: str, remedy: str, retry_after: float):
--- a/src/guavacleat/metrics/__init__.py
+++ b/src/guavacleat/metrics/__init__.py
@@ -1,4 +1,4 @@
-"""Counters and per-account, per-class latency histograms (aioprometheus and hdrhistogram)."""
+"""Counters and latency histograms per client account and priority class."""
 
 from guavacleat.metrics.streams import LatencyHistograms, StreamMetrics
 
--- a/src/guavacleat/metrics/streams.py
+++ b/src/guavacleat/metrics/streams.py
@@ -1,8 +1,8 @@
 """Latency and outcome metrics of streams, per client account and priority class.
 
-Two views of the same observations: aioprometheus histograms and counters for scraping on
-``/metrics``, and hdrhistogram recorders for exact percentiles in status reports and the load
-tool. Values are recorded in seconds and kept in hdrhistogram as microseconds.
+Each value is recorded twice: in aioprometheus histograms and counters, which ``/metrics`` exports,
+and in HDR histograms (in microseconds), from which status reports and the load tool compute
+percentiles.
 """
 
 from aioprometheus import Counter, Histogram, Registry
@@ -11,20 +11,20 @@
 
 __all__ = ["LatencyHistograms", "StreamMetrics"]
 
-LOWEST_US = 1
-HIGHEST_US = 600_000_000
+MIN_RECORDED_US = 1
+MAX_RECORDED_US = 600_000_000
 SIGNIFICANT_DIGITS = 2
 PERCENTILES = (50, 95, 99)
 TTFT_BUCKETS = (0.05, 0.1, 0.2, 0.4, 0.8, 1.6, 3.2, 6.4)
-# Accounts with series of their own; the others share one. At letter 1's 44,000 accounts a series
-# for each would take gigabytes in every gateway, and the scraper as much again.
+# Accounts with their own time series; all others share one, which bounds the memory of the gateway
+# and of the scraper.
 MAX_ACCOUNTS = 100
 OTHER_ACCOUNTS = "other"
 GAP_BUCKETS = (0.005, 0.01, 0.02, 0.033, 0.05, 0.1, 0.2, 0.5, 1.0)
 
 
 class LatencyHistograms:
-    """hdrhistogram recorders keyed by ``(measure, account, priority_class)``."""
+    """HDR histograms by ``(measure, account, priority_class)``."""
 
     def __init__(self):
         self.histograms_by_key: dict[tuple[str, str, str], HdrHistogram] = {}
@@ -33,12 +33,12 @@
         key = (measure, account, priority_class)
         histogram = self.histograms_by_key.get(key)
         if histogram is None:
-            histogram = HdrHistogram(LOWEST_US, HIGHEST_US, SIGNIFICANT_DIGITS)
+            histogram = HdrHistogram(MIN_RECORDED_US, MAX_RECORDED_US, SIGNIFICANT_DIGITS)
             self.histograms_by_key[key] = histogram
-        histogram.record_value(max(LOWEST_US, min(HIGHEST_US, int(seconds * 1e6))))
+        histogram.record_value(max(MIN_RECORDED_US, min(MAX_RECORDED_US, int(seconds * 1e6))))
 
     def summary(self) -> list[dict]:
-        """One row per key: count and the percentiles in seconds."""
+        """One row per histogram: the count, and percentiles in seconds."""
         return [
             {
                 "measure": measure,
@@ -54,7 +54,7 @@
 
 
 class StreamMetrics:
-    """Everything a gateway records about streams, with the exposition for ``/metrics``."""
+    """A gateway's metrics of streams, exported on ``/metrics``."""
 
     def __init__(self):
         self.registry = Registry()
@@ -109,12 +109,12 @@
         return {"account": account, "class": priority_class}
 
     def preemption_count(self, labels: dict[str, str]) -> int:
-        """Preemptions counted so far for one account and class."""
+        """Number of preemptions recorded for one account and class."""
         try:
             return int(self.preemptions.get(labels))
         except KeyError:
             return 0
 
     def exposition(self) -> tuple[bytes, dict]:
-        """The Prometheus text body and its headers."""
+        """Return the body and the headers of the Prometheus text format."""
         return render(self.registry, [])
--- a/src/guavacleat/periodic.py
+++ b/src/guavacleat/periodic.py
@@ -1,4 +1,4 @@
-"""Work a daemon repeats for as long as it runs: heartbeats, polls, sweeps."""
+"""Periodic tasks of a daemon, such as heartbeats, polls and cleanups."""
 
 from eliot import log_message
 from twisted.internet import defer, task
@@ -8,31 +8,31 @@
 
 
 class Periodic:
-    """Calls ``work()`` every ``seconds``, the first time at once, never twice at a time.
+    """Calls ``work()`` immediately and then every ``seconds``, without overlapping calls.
 
-    An unforeseen error in one round is counted and logged, and the next round comes: left to end
-    the loop, it would silently stop the heartbeat or poll for as long as the daemon lives.
+    An exception in ``work`` is counted and logged and does not stop the loop, as it would with a
+    plain ``LoopingCall``.
     """
 
     def __init__(self, clock: IReactorTime, seconds: float, work):
         self.seconds = seconds
         self.work = work
         self.errors = 0
-        self._loop = task.LoopingCall(self._round)
+        self._loop = task.LoopingCall(self._run_once)
         self._loop.clock = clock
 
     def start(self) -> None:
         self._loop.start(self.seconds)
 
     def stop(self) -> None:
-        """Stop after the round under way; may be called again."""
+        """Make no further calls; a call in progress finishes. Idempotent."""
         if self._loop.running:
             self._loop.stop()
 
-    def _round(self) -> defer.Deferred:
-        return defer.maybeDeferred(self.work).addErrback(self._note)
+    def _run_once(self) -> defer.Deferred:
+        return defer.maybeDeferred(self.work).addErrback(self._log_error)
 
-    def _note(self, failure) -> None:
+    def _log_error(self, failure) -> None:
         self.errors += 1
         log_message(
             message_type="periodic:error",
--- a/src/guavacleat/treq_http.py
+++ b/src/guavacleat/treq_http.py
@@ -1,6 +1,6 @@
-"""Calls with treq, with a bound on how long an answer may pause.
+"""HTTP calls with treq, with a read timeout on the response body.
 
-Import it only where it is used: treq takes some 9 MB of a process's memory.
+Import this module only where it is used: importing treq takes about 9 MB of memory.
 """
 
 import treq
@@ -12,22 +12,21 @@
 
 __all__ = ["READ_TIMEOUT", "TreqHttp"]
 
-# Seconds without a byte after which an answer is given up: as long as the store and engines may
-# take to begin one. Not a bound on the whole answer, which takes what the link needs.
+# Seconds without received data after which a response fails. The total time is not limited.
 READ_TIMEOUT = 5.0
 
 
 class _BodyReader(protocol.Protocol):
-    """Gathers a body; ``done`` fires with its bytes, or fails once it pauses for too long."""
+    """Reads a body; ``done`` fires with its bytes, or fails on an error or the read timeout."""
 
     def __init__(self, clock, read_timeout: float):
-        self.pieces: list[bytes] = []
+        self.chunks: list[bytes] = []
         self.read_timeout = read_timeout
         self.done = defer.Deferred()
-        self._timer = clock.callLater(read_timeout, self._give_up)
+        self._timer = clock.callLater(read_timeout, self._timed_out)
 
     def dataReceived(self, data):  # noqa: N802 - Twisted's name
-        self.pieces.append(data)
+        self.chunks.append(data)
         if self._timer.active():
             self._timer.reset(self.read_timeout)
 
@@ -35,24 +34,24 @@
         if self._timer.active():
             self._timer.cancel()
         if reason.check(ResponseDone, PotentialDataLoss):
-            self._end(self.done.callback, b"".join(self.pieces))
+            self._finish(self.done.callback, b"".join(self.chunks))
         else:
             self._fail(reason.getErrorMessage())
 
-    def _give_up(self) -> None:
+    def _timed_out(self) -> None:
         self._fail("no byte within the read timeout")
         self.transport.loseConnection()
 
     def _fail(self, reason: str) -> None:
-        self._end(self.done.errback, CallBrokenError(reason, sum(map(len, self.pieces))))
+        self._finish(self.done.errback, CallBrokenError(reason, sum(map(len, self.chunks))))
 
-    def _end(self, tell, outcome) -> None:
+    def _finish(self, fire, result) -> None:
         if not self.done.called:
-            tell(outcome)
+            fire(result)
 
 
 class BoundedResponse:
-    """An answer whose head has arrived; ``content()`` fires with its body."""
+    """A response whose head has been received; ``content()`` fires with its body."""
 
     def __init__(self, response, clock, read_timeout: float):
         self.code = response.code
@@ -65,15 +64,14 @@
 
 
 class TreqHttp:
-    """Makes calls with treq.
+    """HTTP client based on treq, with a read timeout.
 
-    treq's own time-out ends with the answer's head. A store that is cut off in the middle of an
-    answer sends neither another byte nor a close, and a watch that waited for the rest made its
-    gateway deaf to every later change, without a line in its log.
+    treq's own timeout covers a response only up to its head, so a connection that stalls in the
+    middle of a body would block a watch forever.
 
     :param clock: provides time; Twisted's reactor if None.
-    :param client: a treq ``HTTPClient``; treq itself if None.
-    :param read_timeout: longest pause in seconds within an answer.
+    :param client: a treq ``HTTPClient``; the ``treq`` module if None.
+    :param read_timeout: seconds without received data after which a response fails.
     """
 
     def __init__(self, clock=None, client=None, read_timeout: float = READ_TIMEOUT):
@@ -83,7 +81,7 @@
 
     @defer.inlineCallbacks
     def request(self, method: str, url: str, data: bytes | None = None, timeout: float = 5.0):
-        """Fire with the :class:`BoundedResponse`; ``timeout`` is in seconds, to the head."""
+        """Fire with a :class:`BoundedResponse`; its head must arrive within ``timeout`` seconds."""
         if self.clock is None:
             from twisted.internet import reactor
 
--- a/src/guavacleat/web.py
+++ b/src/guavacleat/web.py
@@ -1,4 +1,4 @@
-"""Writing JSON answers on Twisted web requests, shared by the gateway and the stand-ins."""
+"""JSON responses for Twisted web requests."""
 
 import json
 
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -1,15 +1,11 @@
-"""Metrics stay bounded however many client accounts there are."""
+"""The number of time series is bounded."""
 
 from guavacleat.metrics import StreamMetrics
 from guavacleat.metrics.streams import MAX_ACCOUNTS, OTHER_ACCOUNTS
 
 
-def test_accounts_past_the_bound_share_a_series():
-    """
-    Symptom: gateways grow by gigabytes over a day until they are killed.
-    Sequence: thousands of client accounts each send a request now and then.
-    Cause: every account kept histograms of its own for good.
-    """
+def test_accounts_above_the_limit_share_a_series():
+    """Guards against memory that grows with the number of accounts."""
     metrics = StreamMetrics()
     for number in range(MAX_ACCOUNTS + 20):
         metrics.first_token(f"account-{number}", "standard", 0.1)
--- a/tests/test_periodic.py
+++ b/tests/test_periodic.py
@@ -1,14 +1,10 @@
-"""Repeated work goes on after an error in one round."""
+"""Periodic tasks continue after an error."""
 
 from guavacleat.periodic import Periodic
 
 
-def test_error_in_one_round_does_not_end_the_rounds(clock):
-    """
-    Symptom: an endpoint's lease lapses for good, with nothing in the logs.
-    Sequence: one heartbeat raises something nobody foresaw.
-    Cause: a looping call ends at the first exception.
-    """
+def test_exception_does_not_stop_the_loop(clock):
+    """Guards against heartbeats that stop silently, since a LoopingCall ends at an exception."""
     rounds = []
 
     def work():
