--- a/src/guavacleat/idempotency/records.py
+++ b/src/guavacleat/idempotency/records.py
@@ -41,6 +41,7 @@
 STORE_UNAVAILABLE_RETRY_SECONDS = 2.0
 RUNNING_RETRY_SECONDS = 1.0
 MAX_STORED_RESPONSE_CHARACTERS = 900_000
+# States of a record.
 CLAIMED = "claimed"
 DONE = "done"
 RELEASED = "released"
@@ -50,7 +51,7 @@
 # No call runs this long: the gateway of a call that is still claimed after this time is considered
 # lost, and its retries are told that the outcome is unknown.
 OUTCOME_UNKNOWN_SECONDS = 60.0
-MAX_FIRST_SEEN = 10_000
+MAX_FIRST_SEEN_KEYS = 10_000
 # Longer than the age of any copy from which the store is restored.
 RECENT_WRITE_SECONDS = 60.0
 MAX_RECENT_WRITES = 4096
@@ -103,7 +104,7 @@
 
 
 class CallRecords:
-    """Claims idempotency keys for requests.
+    """Claims idempotency keys for requests; a ``key`` is a record's name, see :func:`call_name`.
 
     :param clock: schedules the background retries of updates.
     """
@@ -111,6 +112,7 @@
     def __init__(self, store: StoreClient, clock: IReactorTime):
         self.store = store
         self.clock = clock
+        # The holder of each key and the clock time at which a retry first found it there.
         self.first_seen_by_key: dict[str, tuple[str, float]] = {}
         # Recent writes by this gateway, oldest first: (record, clock time).
         self.recent_writes_by_key: collections.OrderedDict[str, tuple[dict, float]] = (
@@ -147,7 +149,7 @@
         """Raise StoreUnavailableError while other gateways may still rewrite lost claims.
 
         A store that has never been restored is in era 0. In any later era, a gateway that has just
-        started does not know how long ago the restore was.
+        started does not know how long ago the restore was, and waits as after a new one.
         """
         if self.store.era != self._era:
             self._start_settling(self.store.era)
@@ -221,8 +223,8 @@
         if value["state"] == RELEASED:
             yield self.store.put(CALL_KIND, key, record, current.version)
         elif value["state"] == CLAIMED:
-            # Claimed by a retry that noticed the restore only through this write; it will release
-            # the key.
+            # Claimed by a retry that learnt of the restore only from the response to its claim; it
+            # releases the key.
             raise StoreUnavailableError(f"{key} is claimed by a retry")
 
     @defer.inlineCallbacks
@@ -258,15 +260,15 @@
         if value["fingerprint"] != record["fingerprint"]:
             raise KeyReusedError()
         retry_after = RUNNING_RETRY_SECONDS
-        lost = value["state"] == CLAIMED and self._is_orphaned(key, value["holder"])
-        if lost or value["state"] == UNKNOWN:
+        orphaned = value["state"] == CLAIMED and self._is_orphaned(key, value["holder"])
+        if orphaned or value["state"] == UNKNOWN:
             retry_after = None
         raise AlreadyAcceptedError(key, _stored_response(value), retry_after)
 
     def _is_orphaned(self, key: str, holder: str) -> bool:
         """Whether this gateway has seen ``holder`` hold ``key`` for longer than any call runs."""
         now = self.clock.seconds()
-        if len(self.first_seen_by_key) >= MAX_FIRST_SEEN:
+        if len(self.first_seen_by_key) >= MAX_FIRST_SEEN_KEYS:
             self.first_seen_by_key.clear()
         seen_holder, since = self.first_seen_by_key.setdefault(key, (holder, now))
         if seen_holder != holder:
@@ -314,8 +316,8 @@
     def _update_once(self, key: str, request_id: str, changes: dict):
         current = yield self.store.get(CALL_KIND, key)
         if current is None:
-            # The create was not answered and may still be applied later; a record created now
-            # makes it fail.
+            # The create was not answered and may still be applied; a record created now makes it
+            # fail.
             record = self._recent_write(key, request_id) or {
                 "holder": request_id,
                 "fingerprint": "",
--- a/tests/idempotency/test_claims.py
+++ b/tests/idempotency/test_claims.py
@@ -171,13 +171,13 @@
     """Guards against telling retries of a call whose gateway died to retry forever."""
     result_of(CallRecords(store, clock).claim("slot-1", "request-a"), stub_http.flush)
     records = CallRecords(store, clock)
-    answers = []
+    retry_delays = []
     for wait in (0, OUTCOME_UNKNOWN_SECONDS):
         clock.advance(wait)
         with pytest.raises(AlreadyAcceptedError) as caught:
             result_of(records.claim("slot-1", "request-b"), stub_http.flush)
-        answers.append(caught.value.retry_after)
-    assert answers[0] is not None and answers[1] is None
+        retry_delays.append(caught.value.retry_after)
+    assert retry_delays[0] is not None and retry_delays[1] is None
 
 
 def test_retry_of_a_failed_call_is_told_that_its_outcome_is_unknown(store, stub_http, clock):
--- a/tests/idempotency/test_claims_machine.py
+++ b/tests/idempotency/test_claims_machine.py
@@ -20,7 +20,8 @@
 from tests.conftest import examples, make_request
 
 KEYS = ("connect-1", "connect-2")
-OUTAGE_RETRIES = 4
+# Steps of 2 s after the last fault, in which pending updates are retried.
+RECOVERY_STEPS = 4
 
 
 class CallsMachine(RuleBasedStateMachine):
@@ -30,7 +31,7 @@
         self.store_app = StoreApp(StoreState(self.clock))
         self.http = StubTreq(self.store_app.resource())
         self.records = [self._gateway(), self._gateway()]
-        self.epochs = [0, 0]
+        self.incarnations = [0, 0]
         self.attempts = []
         # Keys whose callers were told to use a new key.
         self.given_up_keys = set()
@@ -47,7 +48,7 @@
         attempt = CallAttempt(key)
         self.attempts.append(attempt)
         request_id = f"request-{len(self.attempts)}"
-        epoch = self.epochs[gateway]
+        incarnation = self.incarnations[gateway]
         records = self.records[gateway]
         completion = make_request()
         completion.call, completion.request_id = key, request_id
@@ -55,14 +56,14 @@
         claiming = guard.claim()
 
         def released(recorded):
-            if self.epochs[gateway] != epoch:
+            if self.incarnations[gateway] != incarnation:
                 return
             attempt.outcome = "not_run"
             if not recorded:
                 self.given_up_keys.add(key)
 
         def claimed(_):
-            if self.epochs[gateway] != epoch:
+            if self.incarnations[gateway] != incarnation:
                 return
             if refuse:
                 guard.release().addCallback(released)
@@ -86,7 +87,7 @@
 
     @rule(gateway=st.sampled_from([0, 1]))
     def gateway_dies(self, gateway):
-        self.epochs[gateway] += 1
+        self.incarnations[gateway] += 1
         self.records[gateway].store.http = _FailingHttp()
         self.records[gateway] = self._gateway()
 
@@ -114,13 +115,13 @@
         self.store_app.faults.outage = False
         self.store_app.faults.lose_acks = 0
         self.store_app.faults.delay = 0.0
-        for _ in range(OUTAGE_RETRIES):
+        for _ in range(RECOVERY_STEPS):
             self.pass_time(2.0)
         refused_only = [
             key
             for key in KEYS
             if key not in self.given_up_keys
-            and all(a.outcome == "not_run" for a in self.attempts if a.key == key)
+            and all(attempt.outcome == "not_run" for attempt in self.attempts if attempt.key == key)
         ]
         for key in refused_only:
             claiming = self.records[0].claim(key, f"last-{key}")
