--- a/src/guavacleat/membership/lease.py
+++ b/src/guavacleat/membership/lease.py
@@ -33,7 +33,9 @@
         self.record = record
         self.on_superseded = on_superseded or (lambda: None)
         self.version: int | None = None
+        # Whether a write of this session is known to have succeeded.
         self.held = False
+        # The session that this one's first write was to displace.
         self.previous_session: str | None = None
         self.superseded = False
         self.failures = 0
@@ -69,11 +71,11 @@
         self.held = True
 
     def _record_displaced(self, current) -> None:
-        """Name the previous sessions in the record, which confirms that their writes were done."""
+        """Name the displaced sessions in the record: they learn that their writes were done."""
         if current is None or current.value.get("session") == self.record.session:
             return
-        before = (current.value.get("session", ""), *current.value.get("displaced", ()))
-        self.record.displaced = before[:MAX_DISPLACED_SESSIONS]
+        sessions = (current.value.get("session", ""), *current.value.get("displaced", ()))
+        self.record.displaced = sessions[:MAX_DISPLACED_SESSIONS]
 
     def _is_taken_over(self, value: dict) -> bool:
         """Whether another session has taken the record over from this one.
--- a/src/guavacleat/membership/registry.py
+++ b/src/guavacleat/membership/registry.py
@@ -110,7 +110,10 @@
 
 
 class EndpointChange:
-    """The latest known state of an endpoint: its entry, or None if it was removed."""
+    """The latest known state of an endpoint: its entry, or None if it was removed.
+
+    :param recorded_at: clock time at which the registry recorded it; 0 in a peer's report.
+    """
 
     __slots__ = ("id", "revision", "entry", "recorded_at")
 
@@ -137,9 +140,11 @@
         self.on_restarted = on_restarted or (lambda entry: None)
         self.entries_by_id: dict[str, EndpointEntry] = {}
         self.on_change = lambda: None
+        # Endpoints reported to ``on_leaving`` that are neither gone nor ready again.
         self.leaving_ids: set[str] = set()
         self.last_leaving_at_by_service: dict[str, float] = {}
         self.changes_by_id: dict[str, EndpointChange] = {}
+        # Endpoints removed from the store around an outage, which may register again.
         self.lapsed_ids: set[str] = set()
         # Ids with an unreadable entry; each is logged once, not at each heartbeat.
         self.unreadable_ids: set[str] = set()
@@ -153,11 +158,11 @@
 
     def observe(self, entry: EndpointEntry) -> None:
         """Apply an entry from the store unless a later one is known."""
-        known = self.changes_by_id.get(entry.id)
-        if known is not None and known.revision > entry.revision:
+        latest = self.changes_by_id.get(entry.id)
+        if latest is not None and latest.revision > entry.revision:
             return
         previous = self.entries_by_id.get(entry.id)
-        if self._is_from_backup(entry, known, previous):
+        if self._is_from_backup(entry, latest, previous):
             return
         if previous is not None and entry.started_before(previous):
             # A delayed heartbeat of the previous process.
@@ -177,20 +182,20 @@
         elif entry.state is EndpointState.READY:
             self.leaving_ids.discard(entry.id)
 
-    def _is_from_backup(self, entry, known: EndpointChange | None, previous) -> bool:
+    def _is_from_backup(self, entry, latest: EndpointChange | None, previous) -> bool:
         """Whether an entry predates the known removal or drain of its endpoint.
 
         A store that was restored from a backup contains such entries. A live endpoint soon writes
         its entry again with a later revision, which is accepted.
         """
-        is_gone = known is not None and known.entry is None
+        is_gone = latest is not None and latest.entry is None
         leaves = previous is not None and previous.state is EndpointState.DRAINING
         if leaves and not (entry.state is EndpointState.READY and entry.is_same_process(previous)):
             leaves = False
         if not (is_gone or leaves):
             return False
         era = Revision(entry.revision).era
-        if Revision(known.revision if is_gone else previous.revision).era >= era:
+        if Revision(latest.revision if is_gone else previous.revision).era >= era:
             return False
         return entry.revision <= self.backup_revisions_by_id.setdefault(entry.id, entry.revision)
 
@@ -214,11 +219,11 @@
 
     @property
     def store_lost(self) -> bool:
-        """Whether the last watch call failed."""
+        """Whether the last watch call failed and the store has not answered a peer since."""
         return self.store_lost_at is not None
 
     def store_silence(self) -> float:
-        """Seconds since the store last answered; 0 before its first answer."""
+        """Seconds since the store last answered this gateway; 0 before its first answer."""
         if self.store_answered_at is None:
             return 0.0
         return self.clock.seconds() - self.store_answered_at
@@ -257,8 +262,8 @@
         :param complete_to_revision: the store's revision up to which this gateway knows all
             changes. An unknown endpoint with an earlier revision was removed before it.
         """
-        known = self.changes_by_id.get(change.id)
-        if known is not None and known.revision >= change.revision:
+        latest = self.changes_by_id.get(change.id)
+        if latest is not None and latest.revision >= change.revision:
             return
         entry = self.entries_by_id.get(change.id)
         if change.entry is not None:
@@ -277,12 +282,12 @@
         """Changes of the last ``seconds``, to be gossiped; discards expired removals."""
         now = self.clock.seconds()
         oldest = now - CHANGE_RETENTION_SECONDS
-        old = [
+        expired = [
             id
             for id, change in self.changes_by_id.items()
             if change.recorded_at < oldest and id not in self.entries_by_id
         ]
-        for id in old:
+        for id in expired:
             del self.changes_by_id[id]
         return [
             change for change in self.changes_by_id.values() if change.recorded_at >= now - seconds
@@ -329,10 +334,10 @@
         self.store_recovered_at = self.clock.seconds()
 
     def record_store_silence(self) -> None:
-        """Record, on a gateway that is not a watcher, that no gateway has answers from the store.
+        """Record, on a gateway that is not a watcher, that the store answers no gateway.
 
-        Entries may lapse meanwhile; this gateway would otherwise treat them as removed after its
-        next call.
+        This restarts the time in which endpoints may register again: entries that lapse meanwhile
+        would otherwise be treated as removed after this gateway's next call.
         """
         if self.store_lost_at is None:
             self.store_recovered_at = self.clock.seconds()
@@ -346,7 +351,7 @@
         self.store_recovered_at = now
 
     def store_unreachable(self) -> bool:
-        """Whether a store call of this gateway failed within ``UNREACHABLE_SECONDS``."""
+        """Whether the last watch call failed, less than ``UNREACHABLE_SECONDS`` ago."""
         failed_at = self.store_failed_at
         return failed_at is not None and self.clock.seconds() - failed_at < UNREACHABLE_SECONDS
 
--- a/src/guavacleat/membership/status_poll.py
+++ b/src/guavacleat/membership/status_poll.py
@@ -25,7 +25,8 @@
 # Short compared with the notice that engines give.
 POLL_INTERVAL_SECONDS = 0.4
 # Time without an answer from the store to any gateway after which it counts as unreachable. A
-# watch returns every 1.2 to 2 s. A gateway without peers only has its own watches to go by.
+# watch returns every 1.2 to 2 s. A gateway without peers knows of its own watches only and waits
+# longer.
 STORE_SILENCE_SECONDS = 1.0
 STORE_SILENCE_ALONE_SECONDS = 2.2
 POLL_TIMEOUT_SECONDS = 0.3
@@ -37,11 +38,10 @@
 
 
 class EndpointStatusPoller:
-    """Polls ready endpoints while no gateway reaches the store.
+    """Polls ready endpoints that run generations while no gateway reaches the store.
 
     :param instance: this gateway's name.
-    :param load: the :class:`~guavacleat.placement.LoadTracker`: only endpoints that run generations
-        are polled.
+    :param load: the :class:`~guavacleat.placement.LoadTracker`.
     :param peers: the :class:`~guavacleat.peers.PeerTable`.
     """
 
--- a/src/guavacleat/membership/view.py
+++ b/src/guavacleat/membership/view.py
@@ -88,7 +88,7 @@
             log_message(message_type="membership:leaving", instances=sorted(names))
         self.leaving_instances = frozenset(names)
 
-    def _takes_work(self, record: EndpointRecord, oldest: float) -> bool:
+    def _accepts_requests(self, record: EndpointRecord, oldest: float) -> bool:
         return (
             not record.draining
             and self.seen_at_by_name[record.name] >= oldest
@@ -100,7 +100,7 @@
         now = self.clock.seconds() if self.store_lost_at is None else self.store_lost_at
         oldest = now - LEASE_SECONDS
         records = map(self.records_by_name.__getitem__, self._ordered(service))
-        live = (record for record in records if self._takes_work(record, oldest))
+        live = (record for record in records if self._accepts_requests(record, oldest))
         return list(itertools.islice(live, SUBSET_SIZE))
 
     def _ordered(self, service: str) -> list[str]:
--- a/tests/membership/test_registry.py
+++ b/tests/membership/test_registry.py
@@ -33,7 +33,7 @@
 
 
 def ready_ids(registry):
-    return [found.id for found in registry.ready("svc")]
+    return [entry.id for entry in registry.ready("svc")]
 
 
 def test_a_draining_endpoint_gets_no_new_requests_and_is_reported_once(registry, leaving):
@@ -41,14 +41,14 @@
     registry.observe(make_entry("e1", state=DRAINING))
     registry.remove("e1")
     assert ready_ids(registry) == ["e2"]
-    assert [found.id for found in leaving] == ["e1"]
+    assert [entry.id for entry in leaving] == ["e1"]
 
 
 def test_an_endpoint_removed_without_draining_is_reported_as_leaving(registry, leaving):
     """Guards against requests to an endpoint whose entry was removed without a drain."""
     registry.remove("e1")
     assert ready_ids(registry) == ["e2"]
-    assert [found.id for found in leaving] == ["e1"]
+    assert [entry.id for entry in leaving] == ["e1"]
 
 
 def test_entries_that_lapse_in_an_outage_are_kept_until_they_could_register_again(
@@ -67,7 +67,7 @@
     registry.observe(make_entry("e1"))
     clock.advance(REREGISTRATION_SECONDS)
     assert ready_ids(registry) == ["e1"]
-    assert [found.id for found in leaving] == ["e2"]
+    assert [entry.id for entry in leaving] == ["e2"]
 
 
 def test_a_draining_entry_that_lapses_in_an_outage_is_removed(registry, clock):
@@ -103,7 +103,7 @@
     registry.record_store_health(False)
     registry.observe_peer_change(EndpointChange("e1", 9, None))
     assert ready_ids(registry) == ["e2"]
-    assert [found.id for found in leaving] == ["e1"]
+    assert [entry.id for entry in leaving] == ["e1"]
 
 
 def test_recent_changes_expire(registry, clock):
@@ -138,7 +138,7 @@
     registry.observe(make_entry("e1", revision=6, started_ms=2000))
     assert ready_ids(registry) == ["e1", "e2"]
     registry.observe(make_entry("e1", revision=7, state=DRAINING, started_ms=2000))
-    assert [found.started_ms for found in leaving] == [1000, 2000]
+    assert [entry.started_ms for entry in leaving] == [1000, 2000]
 
 
 def test_a_delayed_heartbeat_of_the_previous_process_is_ignored(registry, restarted_entries):
@@ -190,7 +190,7 @@
     registry.observe_unreadable("e1", 6, "KeyError('service')")
     registry.observe_unreadable("nobody", 7, "KeyError('service')")
     assert registry.entries_by_id["e1"].state is DRAINING
-    assert [found.id for found in leaving] == ["e1"]
+    assert [entry.id for entry in leaving] == ["e1"]
 
 
 class RestartMachine(RuleBasedStateMachine):
@@ -222,19 +222,19 @@
 
     @rule(id=ids)
     def restart(self, id):
-        known = self.registry.entries_by_id.get(id)
+        previous = self.registry.entries_by_id.get(id)
         before = len(self.restarts)
         self.started[id] += 1
         self._write(id, EndpointState.READY, self.started[id])
-        assert len(self.restarts) - before == (0 if known is None else 1)
+        assert len(self.restarts) - before == (0 if previous is None else 1)
         assert id in ready_ids(self.registry)
 
     @rule(id=ids, state=st.sampled_from([EndpointState.READY, DRAINING]))
     def delayed_heartbeat(self, id, state):
-        known = self.registry.entries_by_id.get(id)
-        if known is not None and known.started_ms > 1:
-            self._write(id, state, known.started_ms - 1)
-            assert self.registry.entries_by_id[id] is known
+        entry = self.registry.entries_by_id.get(id)
+        if entry is not None and entry.started_ms > 1:
+            self._write(id, state, entry.started_ms - 1)
+            assert self.registry.entries_by_id[id] is entry
 
     @rule(id=ids)
     def corrupt(self, id):
--- a/tests/membership/test_status_poll.py
+++ b/tests/membership/test_status_poll.py
@@ -117,7 +117,7 @@
     fleet.leaving.add("e1")
     pass_time(fleet, NOTICE_SECONDS / 3)
     assert fleet.left == ["e1"]
-    assert [found.id for found in fleet.registry.ready("svc")] == [*ENGINES[1:], "idle"]
+    assert [entry.id for entry in fleet.registry.ready("svc")] == [*ENGINES[1:], "idle"]
 
 
 def test_only_engines_that_run_generations_are_polled(fleet):
@@ -175,15 +175,15 @@
     fleet.registry.record_store_health(False)
     fleet.receive_report(1, store_failing=True, loads=ENGINES)
     pass_time(fleet, 2 * POLL_INTERVAL_SECONDS)
-    mine = set(fleet.polled)
+    polled_by_g1 = set(fleet.polled)
     fleet.poller.instance = "g2"
     fleet.receive_report(2, store_failing=True)
     fleet.peers.peers_by_instance["g1"] = fleet.peers.peers_by_instance.pop("g2")
     fleet.peers.peers_by_instance["g1"].report.instance = "g1"
     fleet.polled.clear()
     pass_time(fleet, 2 * POLL_INTERVAL_SECONDS)
-    assert mine.isdisjoint(fleet.polled)
-    assert mine | set(fleet.polled) == set(ENGINES)
+    assert polled_by_g1.isdisjoint(fleet.polled)
+    assert polled_by_g1 | set(fleet.polled) == set(ENGINES)
 
 
 def test_an_engine_that_does_not_answer_is_not_marked_as_leaving(fleet):
@@ -199,7 +199,7 @@
     reported = {change.id: change for change in fleet.registry.recent_changes()}
     assert reported["e1"].entry.state is EndpointState.DRAINING
     fleet.registry.observe(make_entry("e1", revision=4))
-    assert "e1" in [found.id for found in fleet.registry.ready("svc")]
+    assert "e1" in [endpoint.id for endpoint in fleet.registry.ready("svc")]
 
 
 def test_an_engine_with_a_poll_in_progress_is_not_polled_again(fleet, monkeypatch):
