--- a/src/guavacleat/peers/crashes.py
+++ b/src/guavacleat/peers/crashes.py
@@ -10,13 +10,16 @@
 
 __all__ = ["CrashGossip"]
 
-# A fingerprint takes about ten bytes.
+# Bounds the size of a report: a fingerprint takes about ten bytes.
 MAX_FINGERPRINTS_PER_REPORT = 128
 MAX_CLEARANCES_PER_REPORT = 64
 
 
 class CrashGossip:
-    """Encodes a gateway's :class:`~guavacleat.quarantine.CrashTracker` for reports, and decodes."""
+    """Encodes the observations of a gateway's :class:`~guavacleat.quarantine.CrashTracker`.
+
+    It also merges those of its peers into the tracker.
+    """
 
     def __init__(self, clock, tracker: CrashTracker):
         self.clock = clock
@@ -46,8 +49,8 @@
                 for trial in trials
             ],
             [
-                ttypes.Clearance(known.fingerprint, self._age(known.completed_at))
-                for known in clearances
+                ttypes.Clearance(clearance.fingerprint, self._age(clearance.completed_at))
+                for clearance in clearances
             ],
         )
 
--- a/src/guavacleat/peers/directory.py
+++ b/src/guavacleat/peers/directory.py
@@ -88,10 +88,10 @@
         """Add a registered address unless the gateway's own datagrams gave a newer one."""
         address = (stored.value["ip"], stored.value["port"])
         data_centre = stored.value.get("data_centre", self.data_centre)
-        known = self.local_addresses_by_instance
+        addresses = self.local_addresses_by_instance
         if data_centre != self.data_centre:
-            known = self.remote_addresses_by_data_centre.setdefault(data_centre, {})
-        known.setdefault(stored.name, address)
+            addresses = self.remote_addresses_by_data_centre.setdefault(data_centre, {})
+        addresses.setdefault(stored.name, address)
 
     @defer.inlineCallbacks
     def _write_address(self):
@@ -102,8 +102,8 @@
         except ConflictError as exc:
             # Registered by a previous process, possibly with another address.
             listing = yield self.store.list_objects(GATEWAY_KIND)
-            known = {stored.name: stored.value for stored in listing.objects}
-            if known.get(self.instance) == value:
+            values_by_instance = {stored.name: stored.value for stored in listing.objects}
+            if values_by_instance.get(self.instance) == value:
                 return listing
             yield self.store.put(GATEWAY_KIND, self.instance, value, exc.current_version)
         listing = yield self.store.list_objects(GATEWAY_KIND)
--- a/src/guavacleat/peers/exchange.py
+++ b/src/guavacleat/peers/exchange.py
@@ -1,7 +1,7 @@
 """Exchange of reports between gateways by UDP datagrams.
 
-Each gateway reports to all gateways of its data centre, on changes and at each heartbeat. For
-traffic between data centres see ``summaries``.
+Each gateway reports to the other gateways of its data centre, its neighbours, on changes and at
+each heartbeat. For traffic between data centres see ``summaries``.
 """
 
 import random
@@ -297,11 +297,11 @@
 
     def _receive_neighbour_report(self, report: GatewayReport, address) -> None:
         self.directory.add_local(report.instance, address)
-        known = self.peer_table.peers_by_instance.get(report.instance)
+        previous = self.peer_table.peers_by_instance.get(report.instance)
         if not self.peer_table.observe(report):
             return
         self._apply_report(report)
-        if known is None or not _same_loads(known.report, report):
+        if previous is None or not _same_loads(previous.report, report):
             self.summaries.load_changed()
 
     def _receive_summary(self, report: GatewayReport, data: bytes, address) -> None:
@@ -329,7 +329,7 @@
 
 def _same_loads(one: GatewayReport, other: GatewayReport) -> bool:
     """Whether two reports of a gateway contain the same loads."""
-    mine, theirs = one.loads_by_endpoint, other.loads_by_endpoint
-    return mine.keys() == theirs.keys() and all(
-        load.same_as(theirs[id]) for id, load in mine.items()
+    loads, other_loads = one.loads_by_endpoint, other.loads_by_endpoint
+    return loads.keys() == other_loads.keys() and all(
+        load.same_as(other_loads[id]) for id, load in loads.items()
     )
--- a/src/guavacleat/peers/summaries.py
+++ b/src/guavacleat/peers/summaries.py
@@ -2,9 +2,10 @@
 
 If every gateway reported to all others, traffic between data centres would grow with the square of
 the number of gateways. Instead, two gateways of each data centre, the forwarders, sum up the loads
-of its gateways and send the summary to two gateways of each other data centre, which relay it to
-their neighbours unchanged. Forwarders are selected by rendezvous hashing. The first one sends at
-each change, the second at each heartbeat, so that a failure of the first is covered.
+of its gateways and send the summary to two gateways of each other data centre, which relay it
+unchanged to the gateways of theirs. Forwarders are selected by rendezvous hashing. The first one
+sends at each change of load, the second at each heartbeat, so that a failure of the first is
+covered.
 """
 
 import random
@@ -58,11 +59,11 @@
         self._send()
 
     def load_changed(self) -> None:
-        """Send a summary soon if this gateway is the first forwarder."""
+        """Send a summary of changed loads soon if this gateway is the first forwarder."""
         self._schedule_send(1)
 
     def endpoint_changed(self) -> None:
-        """Send a summary soon if this gateway is any of the forwarders."""
+        """Send a summary of changed endpoints or crashes soon if this gateway is a forwarder."""
         self._schedule_send(FORWARDERS)
 
     def on_summary_received(self, data_centre: str, data: bytes) -> None:
--- a/src/guavacleat/peers/sync.py
+++ b/src/guavacleat/peers/sync.py
@@ -31,7 +31,7 @@
 # Watchers in all, spread evenly over the data centres, with at least one in each. More than one,
 # so that a failed watcher does not interrupt updates.
 WATCHERS = 6
-# After its start a gateway is not a watcher for this time: it has just read all objects, and does
+# A gateway is not a watcher for this time after its start: it has just listed all objects, and does
 # not know its peers yet.
 STARTUP_SECONDS = 0.6
 # Maximum age of gossiped state; each gateway draws its own limit from this range. It exceeds a
@@ -151,11 +151,14 @@
         return self.clock.seconds() >= self._relist_at
 
     def complete_since(self, seconds: float) -> int | None:
-        """The revision known ``seconds`` ago, or else the earliest one remembered."""
+        """The revision after which the changes recorded in the last ``seconds`` are complete.
+
+        This is the revision known ``seconds`` ago, or else the earliest one remembered.
+        """
         oldest = self.clock.seconds() - seconds
-        known = [revision for at, revision in self._history if at < oldest]
-        if known:
-            return known[-1]
+        earlier = [revision for at, revision in self._history if at < oldest]
+        if earlier:
+            return earlier[-1]
         return self._history[0][1] if self._history else None
 
     def _advance(self, revision: int) -> None:
--- a/src/guavacleat/peers/table.py
+++ b/src/guavacleat/peers/table.py
@@ -21,6 +21,8 @@
 
 
 class _Peer:
+    """A peer's latest report and the clock time of its arrival."""
+
     __slots__ = ("report", "received_at")
 
     def __init__(self, report: GatewayReport, received_at: float):
@@ -45,9 +47,9 @@
         peers = self.peers_by_instance
         if report.is_summary:
             peers = self.summaries_by_data_centre.setdefault(report.data_centre, {})
-        known = peers.get(report.instance)
-        if known is not None and known.report.incarnation == report.incarnation:
-            if report.sequence <= known.report.sequence:
+        previous = peers.get(report.instance)
+        if previous is not None and previous.report.incarnation == report.incarnation:
+            if report.sequence <= previous.report.sequence:
                 return False
         else:
             log_message(
--- a/tests/peers/fleet.py
+++ b/tests/peers/fleet.py
@@ -73,7 +73,10 @@
 
 
 class StoreLink:
-    """A gateway's connection to the store; ``state``: ``"open"``, ``"refused"`` or ``"silent"``."""
+    """A gateway's connection to the store.
+
+    :ivar state: ``"open"``; ``"refused"``: calls fail at once; ``"silent"``: calls time out.
+    """
 
     def __init__(self, store: SharedStore):
         self.store = store
@@ -84,7 +87,7 @@
         """Ignored: this store is never restored from a backup."""
 
     def set_state(self, state):
-        """Set the state; if not open, calls fail, and those in progress time out."""
+        """Set the state; unless it is open, the calls in progress time out."""
         self.state = state
 
     def _failure(self, wait=0.0):
@@ -100,8 +103,8 @@
         failure = self._failure()
         if failure is not None:
             return failure
-        known = self.store.objects.get((kind, name))
-        version = known.revision if known else 0
+        stored = self.store.objects.get((kind, name))
+        version = stored.revision if stored else 0
         if version != expected_version:
             return defer.fail(ConflictError(kind, name, expected_version, version))
         return defer.succeed(self.store.write(kind, name, value))
@@ -129,7 +132,7 @@
         self.store.waiting.append(waiting)
         answer = defer.Deferred()
 
-        def over():
+        def time_out():
             if waiting in self.store.waiting:
                 self.store.waiting.remove(waiting)
                 changed.callback(WatchBatch(self.store.revision, []))
@@ -141,7 +144,7 @@
                 error = StoreUnavailableError("the answer was lost")
                 self.store.clock.callLater(CALL_TIMEOUT_SECONDS, answer.errback, error)
 
-        self.store.clock.callLater(wait, over)
+        self.store.clock.callLater(wait, time_out)
         changed.addCallback(deliver)
         return answer
 
@@ -193,7 +196,7 @@
         self.frozen = True
 
     def ready_ids(self):
-        return {found.id for found in self.registry.all_ready()}
+        return {entry.id for entry in self.registry.all_ready()}
 
 
 class Fleet:
@@ -235,8 +238,8 @@
 
     def deliver(self, sender, data, address):
         """Deliver a datagram unless it is dropped."""
-        found = (gateway for gateway in self.gateways.values() if gateway.ip == address[0])
-        receiver = next(found, None)
+        receivers = (gateway for gateway in self.gateways.values() if gateway.ip == address[0])
+        receiver = next(receivers, None)
         if receiver is None:
             return
         if sender.data_centre != receiver.data_centre:
--- a/tests/peers/test_peers.py
+++ b/tests/peers/test_peers.py
@@ -26,7 +26,7 @@
 COUNTS = st.integers(0, 2**31 - 1)
 LOADS = st.builds(EndpointLoad, COUNTS, COUNTS, COUNTS)
 
-# About four packets; a few such reports per second are within a gateway's 12 KB a second.
+# About four packets; a few such reports a second are within a gateway's budget of 12 KB/s.
 LARGEST_CRASH_REPORT_BYTES = 6000
 
 
@@ -68,8 +68,8 @@
         decode_report(data)
 
 
-def report(instance="g2", incarnation=1, sequence=1, expected=100):
-    load = EndpointLoad(1, expected, 0)
+def report(instance="g2", incarnation=1, sequence=1, expected_tokens=100):
+    load = EndpointLoad(1, expected_tokens, 0)
     return GatewayReport(instance, incarnation, sequence, {"e1": load})
 
 
@@ -79,15 +79,15 @@
 
 
 def test_a_delayed_report_does_not_replace_a_newer_one(peer_table):
-    peer_table.observe(report(sequence=2, expected=200))
-    peer_table.observe(report(sequence=1, expected=100))
+    peer_table.observe(report(sequence=2, expected_tokens=200))
+    peer_table.observe(report(sequence=1, expected_tokens=100))
     assert peer_table.total("e1").peak_tokens == 200
 
 
 def test_a_restarted_peer_restarts_its_sequence(peer_table):
     """Guards against ignored reports of a restarted peer; sequences count per incarnation."""
-    peer_table.observe(report(sequence=9, expected=900))
-    peer_table.observe(report(incarnation=2, sequence=1, expected=100))
+    peer_table.observe(report(sequence=9, expected_tokens=900))
+    peer_table.observe(report(incarnation=2, sequence=1, expected_tokens=100))
     assert peer_table.total("e1").peak_tokens == 100
 
 
@@ -128,11 +128,11 @@
 
 
 @pytest.mark.parametrize(
-    "version,told", [(7, 7), (None, None), ((1 << 63) - 1, (1 << 63) - 1), (1 << 63, None)]
+    "version,reported", [(7, 7), (None, None), ((1 << 63) - 1, (1 << 63) - 1), (1 << 63, None)]
 )
-def test_a_report_contains_any_configuration_version_that_fits(version, told):
+def test_a_report_contains_any_configuration_version_that_fits(version, reported):
     sent = GatewayReport("g1", 1, 1, {}, configuration_version=version)
-    assert decode_report(encode_report(sent)).configuration_version == told
+    assert decode_report(encode_report(sent)).configuration_version == reported
 
 
 def make_exchange(clock, store):
@@ -192,8 +192,8 @@
     assert store.written == []
 
 
-def summary(instance, sequence=1, gateway_count=3, expected=100):
-    load = EndpointLoad(1, expected, 0)
+def summary(instance, sequence=1, gateway_count=3, expected_tokens=100):
+    load = EndpointLoad(1, expected_tokens, 0)
     return GatewayReport(
         instance, 1, sequence, {"e1": load}, data_centre="dc2", gateway_count=gateway_count
     )
@@ -201,20 +201,20 @@
 
 def test_only_the_summary_of_most_gateways_counts_per_data_centre(peer_table, clock):
     """Guards against adding up the summaries of both forwarders, or using the less complete one."""
-    peer_table.observe(summary("f1", gateway_count=3, expected=100))
-    peer_table.observe(summary("f2", gateway_count=2, expected=60))
+    peer_table.observe(summary("f1", gateway_count=3, expected_tokens=100))
+    peer_table.observe(summary("f2", gateway_count=2, expected_tokens=60))
     assert peer_table.total("e1").peak_tokens == 100
     clock.advance(PEER_TIMEOUT_SECONDS - 0.1)
-    peer_table.observe(summary("f2", sequence=2, gateway_count=2, expected=70))
+    peer_table.observe(summary("f2", sequence=2, gateway_count=2, expected_tokens=70))
     clock.advance(0.2)
     assert peer_table.total("e1").peak_tokens == 70, "the first forwarder has timed out"
 
 
 def test_neighbours_reports_and_summaries_are_stored_separately(peer_table):
-    peer_table.observe(report(expected=100))
-    peer_table.observe(summary("f1", expected=60))
+    peer_table.observe(report(expected_tokens=100))
+    peer_table.observe(summary("f1", expected_tokens=60))
     assert peer_table.total("e1").peak_tokens == 160
-    assert [near.instance for near in peer_table.alive()] == ["g2"]
+    assert [peer.instance for peer in peer_table.alive()] == ["g2"]
 
 
 def test_a_senders_address_is_learnt_from_its_datagram(clock):
@@ -253,7 +253,7 @@
     ]
     data = encode_report(GatewayReport("g2", 1, 1, {}, changes))
     peer_exchange.datagramReceived(data, ("10.0.0.2", 7200))
-    assert [gone.id for gone in leaving_entries] == ["e1"]
+    assert [entry.id for entry in leaving_entries] == ["e1"]
     assert [ready.id for ready in peer_exchange.registry.ready("svc")] == ["e9"]
 
 
@@ -296,9 +296,9 @@
         load.begin("e1", Run(f"r{number}", peak_tokens=500))
         clock.advance(0.1)
         sent.append(any(report.changes for report, _ in peer_exchange.transport.sent))
-    news = round(RECENT_CHANGE_SECONDS / 0.1)
-    assert all(sent[:news])
-    assert 2 <= sum(sent[news + 1 :]) <= 80 * 0.1 / FULL_REPORT_SECONDS + 1
+    recent_count = round(RECENT_CHANGE_SECONDS / 0.1)
+    assert all(sent[:recent_count])
+    assert 2 <= sum(sent[recent_count + 1 :]) <= 80 * 0.1 / FULL_REPORT_SECONDS + 1
 
 
 # Maximum payload of a UDP datagram.
@@ -331,7 +331,7 @@
         tracker.confirm(tracker.request_interrupted(f"e{number}", number))
     clock.advance(0.02)
     sent_crashes = [report.crashes for report, _ in peer_exchange.transport.sent if report.crashes]
-    assert sum(len(end.fingerprints) for end in sent_crashes[-1].ends) == 100
+    assert sum(len(crash.fingerprints) for crash in sent_crashes[-1].ends) == 100
     before = len(sent_crashes)
     for number in range(100):
         load.begin("e1", Run(f"r{number}", peak_tokens=500))
@@ -345,7 +345,7 @@
     tracker = peer_exchange.crash_gossip.tracker
     for endpoint in range(200):
         for request in range(40):
-            end = tracker.request_interrupted(f"i-{endpoint:08}", 1000 * endpoint + request)
-        tracker.confirm(end)
+            crash = tracker.request_interrupted(f"i-{endpoint:08}", 1000 * endpoint + request)
+        tracker.confirm(crash)
     report = peer_exchange._build_report({}, peer_exchange._schedule, True)
     assert len(encode_report(report)) <= LARGEST_CRASH_REPORT_BYTES
--- a/tests/peers/test_sync.py
+++ b/tests/peers/test_sync.py
@@ -1,4 +1,4 @@
-"""Many gateways: a few watch the store, the others learn of changes by gossip.
+"""A few of many gateways watch the store; the others learn of changes by gossip.
 
 Engines give 1.5 s of notice, a configuration must be in force within 2 s, and 3 % of the datagrams
 are lost.
@@ -22,13 +22,13 @@
 SETTLE_SECONDS = 6.0
 NOTICE_SECONDS = 1.5
 CONFIGURATION_SECONDS = 2.0
-LOST_SHARE = 0.03
+DATAGRAM_LOSS_RATE = 0.03
 
 
 @pytest.fixture
 def fleet():
     rng = random.Random(7)
-    fleet = Fleet(3, 6, drops_datagram=lambda: rng.random() < LOST_SHARE)
+    fleet = Fleet(3, 6, drops_datagram=lambda: rng.random() < DATAGRAM_LOSS_RATE)
     for number in range(12):
         fleet.set_endpoint(f"e{number}", "ready")
     fleet.pass_time(SETTLE_SECONDS)
@@ -42,8 +42,8 @@
 def test_all_gateways_select_the_same_watchers(fleet):
     assert len(watchers(fleet)) == WATCHERS
     for data_centre in ("dc0", "dc1", "dc2"):
-        near = [gateway for gateway in watchers(fleet) if gateway.data_centre == data_centre]
-        assert len(near) == WATCHERS // 3
+        local = [gateway for gateway in watchers(fleet) if gateway.data_centre == data_centre]
+        assert len(local) == WATCHERS // 3
 
 
 def test_store_calls_do_not_grow_with_the_number_of_gateways():
@@ -92,22 +92,22 @@
 @pytest.mark.parametrize("state", ["refused", "silent"])
 def test_watchers_that_lose_the_store_are_replaced(fleet, state):
     """Guards against outdated gateways when only the watchers cannot reach the store."""
-    cut_off = watchers(fleet)
-    for gateway in cut_off:
+    disconnected = watchers(fleet)
+    for gateway in disconnected:
         gateway.link.set_state(state)
     fleet.configure(2)
     fleet.remove_endpoint("e1")
     fleet.pass_time(STALE_SECONDS[1] + 1.0)
     for gateway in fleet.gateways.values():
         assert "e1" not in gateway.ready_ids(), gateway.instance
-        if gateway not in cut_off:
+        if gateway not in disconnected:
             assert gateway.holder.version == 2, gateway.instance
 
 
 def test_a_change_seen_by_the_only_gateway_with_the_store_reaches_all(fleet):
     """Guards against missed drains in a partial outage in which one gateway reaches the store."""
-    *cut_off, connected = fleet.gateways.values()
-    for gateway in cut_off:
+    *disconnected, connected = fleet.gateways.values()
+    for gateway in disconnected:
         gateway.link.set_state("refused")
     fleet.pass_time(SETTLE_SECONDS)
     assert connected.source.should_watch()
@@ -129,7 +129,9 @@
 def test_a_partitioned_data_centre_watches_the_store(fleet):
     inside = [gateway for gateway in fleet.gateways.values() if gateway.data_centre == "dc0"]
     outside = [gateway for gateway in fleet.gateways.values() if gateway.data_centre != "dc0"]
-    fleet.blocked_links |= {(far.instance, near.instance) for far in outside for near in inside}
+    fleet.blocked_links |= {
+        (sender.instance, receiver.instance) for sender in outside for receiver in inside
+    }
     fleet.set_endpoint("e4", "draining")
     fleet.pass_time(NOTICE_SECONDS)
     assert all("e4" in gateway.left_ids for gateway in fleet.gateways.values())
@@ -215,8 +217,8 @@
 
 def test_a_removed_endpoint_is_not_restored_by_old_reports(fleet):
     fleet.remove_endpoint("e1")
-    gone_at = fleet.clock.seconds()
-    while fleet.clock.seconds() < gone_at + SETTLE_SECONDS:
+    removed_at = fleet.clock.seconds()
+    while fleet.clock.seconds() < removed_at + SETTLE_SECONDS:
         fleet.pass_time(0.5)
         assert all("e1" not in gateway.ready_ids() for gateway in fleet.gateways.values())
 
--- a/tests/peers/test_sync_machine.py
+++ b/tests/peers/test_sync_machine.py
@@ -2,8 +2,9 @@
 
 Rules: configurations and endpoints change; the store refuses or doesn't answer gateways' calls, or
 compacts its history; gateways are partitioned from peers, also in one direction; they restart;
-datagrams are lost. Invariants: a gateway's configuration version never decreases; within a bound
-after the last fault, a gateway that reaches the store knows the store's state.
+datagrams are lost. Invariants: a gateway's configuration version never decreases; ``BOUND_SECONDS``
+after the last rule, each gateway that reaches the store knows the store's state, even if faults of
+other gateways and of the network persist.
 """
 
 import random
@@ -19,7 +20,7 @@
 DATA_CENTRES, PER_DATA_CENTRE = 2, 4
 GATEWAYS = [f"g{dc}-{n}" for dc in range(DATA_CENTRES) for n in range(PER_DATA_CENTRE)]
 ENDPOINTS = ["e1", "e2", "e3"]
-# Gossiped state expires, a store call times out, and the next one succeeds.
+# Gossiped state expires, a watch times out, the next call succeeds, and a gap is filled.
 BOUND_SECONDS = STALE_SECONDS[1] + 2.8 + GAP_SECONDS + 0.7
 
 
@@ -88,7 +89,7 @@
     def teardown(self):
         if not hasattr(self, "fleet"):
             return
-        # Faults persist here; gateways that reach the store must know its state.
+        # No fault is repaired: only gateways that reach the store must know its state.
         self.fleet.pass_time(BOUND_SECONDS)
         ready = self.fleet.ready_in_store()
         for name, gateway in self.fleet.gateways.items():
