--- a/src/guavacleat/quarantine/guard.py
+++ b/src/guavacleat/quarantine/guard.py
@@ -15,7 +15,7 @@
 
 __all__ = ["Liveness", "QuarantineGuard"]
 
-# Covers the heartbeats after which the entry of a crashed endpoint expires.
+# Unconfirmed crashes are discarded after this time; a crashed endpoint's entry expires earlier.
 CONFIRM_TIMEOUT_SECONDS = 4.0
 
 
@@ -81,7 +81,7 @@
             CONFIRM_TIMEOUT_SECONDS, self._resolve, endpoint, crash, Liveness.ALIVE
         )
         probing = defer.Deferred.fromCoroutine(self._probe_endpoint(endpoint, crash))
-        probing.addErrback(self._note_error)
+        probing.addErrback(self._log_error)
 
     def endpoint_removed(self, endpoint: str, announced: bool) -> None:
         """Record that membership has removed an endpoint or seen it restart.
@@ -110,5 +110,5 @@
         else:
             self.tracker.discard(crash)
 
-    def _note_error(self, failure) -> None:
+    def _log_error(self, failure) -> None:
         log_message(message_type="quarantine:error", error=failure.getTraceback())
--- a/src/guavacleat/quarantine/messages.py
+++ b/src/guavacleat/quarantine/messages.py
@@ -61,7 +61,11 @@
 
 
 class Clearance:
-    """The completion of a request, which clears it of all earlier crashes."""
+    """The completion of a request, which clears it of all earlier crashes.
+
+    :param completed_at: clock time of the completion.
+    :param updated_at: clock time at which this gateway recorded it.
+    """
 
     __slots__ = ("fingerprint", "completed_at", "updated_at")
 
--- a/src/guavacleat/quarantine/record.py
+++ b/src/guavacleat/quarantine/record.py
@@ -18,7 +18,7 @@
 
 RECORD_KIND = "quarantine"
 RECORD_NAME = "requests"
-# By then a gateway knows its peers; only a few of them read the record.
+# Random delay after the start: by then a gateway knows its peers, only a few of which read.
 READ_DELAY_SECONDS = (1.0, 2.0)
 # Number of latest requests that are restored.
 MAX_RESTORED_REQUESTS = 64
@@ -73,7 +73,7 @@
 
     def _start_task(self, work) -> None:
         if not self.stopped:
-            defer.Deferred.fromCoroutine(work()).addErrback(self._note_error)
+            defer.Deferred.fromCoroutine(work()).addErrback(self._log_error)
 
     async def _read(self) -> None:
         if not self.is_reader():
@@ -109,18 +109,18 @@
         if self._changes:
             self._change(*self._changes.popitem())
 
-    def _note_error(self, failure) -> None:
+    def _log_error(self, failure) -> None:
         log_message(message_type="quarantine:error", error=failure.getTraceback())
 
 
 def _merged(stored: dict[int, int], changes: dict[int, int | None]) -> dict[int, int]:
     """The new content of the record, latest last."""
-    kept = dict(stored)
+    merged = dict(stored)
     for fingerprint, crashes in changes.items():
-        before = kept.pop(fingerprint, 0)
+        previous_count = merged.pop(fingerprint, 0)
         if crashes is not None:
-            kept[fingerprint] = max(before, crashes)
-    return dict(list(kept.items())[-MAX_STORED_REQUESTS:])
+            merged[fingerprint] = max(previous_count, crashes)
+    return dict(list(merged.items())[-MAX_STORED_REQUESTS:])
 
 
 def _encode(counts_by_fingerprint: dict[int, int]) -> dict:
--- a/src/guavacleat/quarantine/tracker.py
+++ b/src/guavacleat/quarantine/tracker.py
@@ -29,7 +29,8 @@
 
 # Number of crashes from which a request runs isolated from others, one at a time.
 SUSPECT_CRASHES = 2
-# How long a request is refused after its third crash, and after each further one.
+# How long a request is refused after its third crash, and after each further one; the last value
+# repeats.
 QUARANTINE_SECONDS = (2.0, 60.0, 600.0, 21600.0)
 # A trial that has not crashed its endpoint by then is considered over.
 TRIAL_TIMEOUT_SECONDS = 5.0
@@ -174,8 +175,8 @@
     def merge_completion(self, fingerprint: int, age: float) -> None:
         """Merge a peer's report that a request completed ``age`` seconds ago."""
         at = self.clock.seconds() - age
-        known = self.clearances_by_fingerprint.get(fingerprint)
-        if known is None or at > known.completed_at + SAME_CRASH_SECONDS:
+        previous = self.clearances_by_fingerprint.get(fingerprint)
+        if previous is None or at > previous.completed_at + SAME_CRASH_SECONDS:
             self._clear(fingerprint, at)
             self._notify(self.on_remote_change)
 
@@ -200,9 +201,9 @@
     def merge_trial(self, fingerprint: int, endpoint: str, age: float) -> None:
         """Merge a peer's report of a trial that began ``age`` seconds ago."""
         at = self.clock.seconds() - age
-        known = self._trial(fingerprint)
+        active = self._trial(fingerprint)
         if (
-            known is not None
+            active is not None
             or age >= TRIAL_TIMEOUT_SECONDS
             or self._crashed_since(fingerprint, at)
         ):
@@ -242,9 +243,12 @@
         )
 
     def recent_clearances(self, seconds: float) -> list[Clearance]:
+        """Clearances recorded in the last ``seconds``, newest first."""
         oldest = self.clock.seconds() - seconds
         newest_first = reversed(self.clearances_by_fingerprint.values())
-        return list(itertools.takewhile(lambda known: known.updated_at >= oldest, newest_first))
+        return list(
+            itertools.takewhile(lambda clearance: clearance.updated_at >= oldest, newest_first)
+        )
 
     def _notify(self, callback) -> None:
         self.changed_at = self.clock.seconds()
@@ -301,6 +305,7 @@
         return last + QUARANTINE_SECONDS[min(excess, len(QUARANTINE_SECONDS) - 1)]
 
     def _trial(self, fingerprint: int) -> Trial | None:
+        """The active trial of a request; drops one that timed out."""
         trial = self.trials_by_fingerprint.get(fingerprint)
         if trial is not None and self.clock.seconds() - trial.started_at >= TRIAL_TIMEOUT_SECONDS:
             del self.trials_by_fingerprint[fingerprint]
@@ -310,7 +315,10 @@
     def _find(
         self, endpoint: str, at: float, restored: bool = False, sent_at: float = float("-inf")
     ) -> EndpointCrash | None:
-        """The known crash of ``endpoint`` at that time; with ``restored``, at any time."""
+        """The known crash of ``endpoint`` at that time, but not before ``sent_at``.
+
+        With ``restored`` the time does not matter.
+        """
         return next(
             (
                 crash
--- a/tests/quarantine/crashing_fleet.py
+++ b/tests/quarantine/crashing_fleet.py
@@ -1,4 +1,4 @@
-"""Gateways and endpoints that one request crashes, all on one fake clock."""
+"""Gateways, their callers, and endpoints that one request crashes, on one fake clock."""
 
 import collections
 import itertools
@@ -51,21 +51,21 @@
     def __init__(self, fleet, name, ip):
         self.fleet, self.name, self.ip = fleet, name, ip
         self.starts = 0
-        self.routed = StandinEndpoint(fleet.network, name)
-        self.routed.on_crash = self.crash
-        self.routed.work_seconds = fleet.work_seconds
-        self.listener = HttpListener(fleet.network, self.routed.listener, (ip, 80))
+        self.standin = StandinEndpoint(fleet.network, name)
+        self.standin.on_crash = self.crash
+        self.standin.work_seconds = fleet.work_seconds
+        self.listener = HttpListener(fleet.network, self.standin.listener, (ip, 80))
         self.listener.startService()
         self._register()
 
     @property
     def id(self):
-        return self.routed.id
+        return self.standin.id
 
     def _register(self):
         self.starts += 1
         if self.fleet.store is not None:
-            self.routed.id = f"{self.name}.{self.starts}"
+            self.standin.id = f"{self.name}.{self.starts}"
             self.fleet.store.write("endpoints", self.id, self.ip)
 
     def crash(self, seconds=RESTART_SECONDS):
@@ -244,7 +244,7 @@
             connection.send(b"POST", path.encode(), headers, body, _OutcomeListener(on_outcome))
 
         connector = protocol.ClientCreator(
-            self.network, EndpointConnection, lambda found: found.abandon(), lambda lost: None
+            self.network, EndpointConnection, lambda idle: idle.abandon(), lambda closed: None
         )
         address = self.gateways[instance].settings.caller_address
         connecting = connector.connectTCP(*address)
--- a/tests/quarantine/test_crashing_requests.py
+++ b/tests/quarantine/test_crashing_requests.py
@@ -101,9 +101,9 @@
             endpoint.crash()
         fleet.network.pass_time(2.0)
     recorded = [
-        known
+        endpoint_crash
         for gateway in fleet.gateways.values()
-        for known in gateway.crash_tracker.endpoint_crashes
+        for endpoint_crash in gateway.crash_tracker.endpoint_crashes
     ]
     assert len(recorded) >= rounds
 
@@ -111,7 +111,7 @@
 @pytest.mark.parametrize("seed", range(6))
 @pytest.mark.parametrize("kind", KINDS_BY_PATH)
 def test_harmless_requests_in_flight_at_failing_racks_are_served(kind, seed):
-    """Guards against refusing requests for long that were in flight at several rack failures."""
+    """Guards against long refusals of requests that were in flight at several rack failures."""
     fleet = CrashingFleet(gateways=3, work_seconds=0.05, seed=seed)
     paths = [f"/{kind}/{number}" for number in range(18)]
     fail_racks(fleet, lambda: [fleet.send_harmless(path) for path in paths])
--- a/tests/quarantine/test_guard.py
+++ b/tests/quarantine/test_guard.py
@@ -1,4 +1,4 @@
-"""How the guard tells the crash of an endpoint from a failed response."""
+"""How the guard distinguishes the crash of an endpoint from a failed response."""
 
 import types
 
--- a/tests/quarantine/test_record.py
+++ b/tests/quarantine/test_record.py
@@ -99,6 +99,6 @@
     pass_time(clock)
     quarantine(tracker, clock, CRASHER)
     pass_time(clock)
-    kept = store.objects["quarantine", "requests"].value["crashes"]
-    assert len(kept) == MAX_STORED_REQUESTS
-    assert f"{CRASHER:016x}" in kept
+    stored_crashes = store.objects["quarantine", "requests"].value["crashes"]
+    assert len(stored_crashes) == MAX_STORED_REQUESTS
+    assert f"{CRASHER:016x}" in stored_crashes
--- a/tests/quarantine/test_tracker_machine.py
+++ b/tests/quarantine/test_tracker_machine.py
@@ -22,7 +22,7 @@
 GATEWAYS = 3
 CRASHER = -1
 HARMLESS = tuple(range(1, 9))
-# Crashes until the request is quarantined; then one trial is due after each refusal.
+# Crashes after which the request is quarantined; then one trial is due after each refusal.
 CRASHES_BEFORE_QUARANTINE = 3
 
 
@@ -36,6 +36,7 @@
         self.gossip = [CrashGossip(self.clock, tracker) for tracker in self.trackers]
         self.starts = 0
         self.crashes = 0
+        # (gateway that observed the crash, clock time).
         self.crasher_crashes_at = []
         self.unrelated_crashes_at = []
 
@@ -108,19 +109,19 @@
 
     def _is_uncorrelated(self, at):
         """Whether too few endpoints crashed around ``at`` for a correlated failure."""
-        near = [
+        concurrent = [
             other
             for other in self.unrelated_crashes_at
             if abs(other - at) <= CORRELATION_WINDOW_SECONDS
         ]
-        return len(near) < MIN_CORRELATED_CRASHES
+        return len(concurrent) < MIN_CORRELATED_CRASHES
 
     @invariant()
     def crasher_crashes_few_endpoints(self):
         """Each gateway has at most three crashes and one more after each refusal."""
         now = self.clock.seconds()
         for gateway in range(GATEWAYS):
-            at_gateway = [at for crasher, at in self.crasher_crashes_at if crasher == gateway]
+            at_gateway = [at for observer, at in self.crasher_crashes_at if observer == gateway]
             own = [at for at in at_gateway if self._is_uncorrelated(at)]
             if len(own) > CRASHES_BEFORE_QUARANTINE:
                 since = now - own[CRASHES_BEFORE_QUARANTINE - 1]
