--- a/src/guavacleat/store/client.py
+++ b/src/guavacleat/store/client.py
@@ -228,9 +228,9 @@
     return values[0] if values else None
 
 
-def _require_ok(status: int, what: str) -> None:
+def _require_ok(status: int, operation: str) -> None:
     if status != 200:
-        raise StoreUnavailableError(f"{what}: status {status}")
+        raise StoreUnavailableError(f"{operation}: status {status}")
 
 
 def _treq_http():
--- a/src/guavacleat/store/dialect.py
+++ b/src/guavacleat/store/dialect.py
@@ -31,6 +31,7 @@
         return StoredObject.from_json(body)
 
     def conflicting_version(self, body: dict) -> int:
+        """The object's current version, from the response to a failed conditional write."""
         return body["current_version"]
 
     def decode_listing(self, kind: str, body: dict):
--- a/src/guavacleat/store/watch.py
+++ b/src/guavacleat/store/watch.py
@@ -24,8 +24,8 @@
 __all__ = ["RECOVERY_WAIT_SECONDS", "WatchLoop"]
 
 BACKOFF_MIN_SECONDS = 0.2
-# Wait in seconds of a watch after a failure. It is short so that a call which the store never
-# answers times out soon after the store has recovered.
+# Wait of a watch after a failure: short, so that a call which the store never answers times out
+# soon after the store has recovered.
 RECOVERY_WAIT_SECONDS = 0.3
 BACKOFF_MAX_SECONDS = 5.0
 # Each watch waits for a random fraction, between this and 1, of its wait. A change answers the
--- a/tests/restore/fleet.py
+++ b/tests/restore/fleet.py
@@ -39,7 +39,7 @@
 
     def _answer_without_changes(self, response, since):
         if not response.called:
-            self.store.waiting = [known for known in self.store.waiting if known[2] is not response]
+            self.store.waiting = [watch for watch in self.store.waiting if watch[2] is not response]
             response.callback(self.store._changes("", since))
 
 
@@ -94,8 +94,8 @@
 
     def remove_stale_entries(self):
         """Remove the entries of endpoints that no longer run."""
-        known = [name for kind, name in self.store.objects if kind == fleet.ENDPOINTS]
-        for name in set(known) - set(self.states_by_id):
+        names = [name for kind, name in self.store.objects if kind == fleet.ENDPOINTS]
+        for name in set(names) - set(self.states_by_id):
             self.store.write(fleet.ENDPOINTS, name, None, deleted=True)
 
     def restore(self):
--- a/tests/restore/test_gateways.py
+++ b/tests/restore/test_gateways.py
@@ -23,7 +23,7 @@
 
 
 def restore_after(fleet, lost_changes):
-    """Copy the store, make ``lost_changes``, and restore the copy seconds later."""
+    """Copy the store, call ``lost_changes`` to change it, and restore the copy seconds later."""
     fleet.store.copy()
     lost_changes()
     fleet.pass_time(COPY_AGE_SECONDS)
@@ -35,7 +35,7 @@
 
 
 def test_an_endpoint_added_after_a_restore_reaches_all_gateways(fleet):
-    """Guards against ignoring new entries until the store's revision exceeds the one before."""
+    """Guards against ignoring new entries until the revision exceeds the one before the restore."""
     restore_after(fleet, lambda: None)
     fleet.pass_time(1.0)
     fleet.set_endpoint("e3", "ready")
@@ -50,7 +50,7 @@
     for _ in range(30):
         fleet.pass_time(0.1)
         seen.append(distinct_ready_ids(fleet))
-    assert all(belief == {frozenset({"e1", "e2", "e3"})} for belief in seen)
+    assert all(ids == {frozenset({"e1", "e2", "e3"})} for ids in seen)
 
 
 def test_an_endpoint_removed_before_the_restore_stays_removed(fleet):
--- a/tests/store/test_stalled_answer.py
+++ b/tests/store/test_stalled_answer.py
@@ -42,9 +42,9 @@
 def test_a_slow_response_is_read_to_its_end(client, link):
     """Guards against a call that times out while a large response is still arriving."""
     link.store.write("config", "main", LARGE)
-    found = client.get("config", "main")
+    reading = client.get("config", "main")
     link.run(CALL_TIMEOUT_SECONDS + 1)
-    assert result_of(found).value == LARGE
+    assert result_of(reading).value == LARGE
 
 
 def test_a_stalled_response_times_out(client, link):
@@ -54,7 +54,7 @@
     """
     link.store.write("config", "main", LARGE)
     link.stall_after_bytes = 100_000
-    found = client.get("config", "main")
+    reading = client.get("config", "main")
     link.run(2 * CALL_TIMEOUT_SECONDS)
     with pytest.raises(StoreUnavailableError, match="99[0-9]{3} bytes"):
-        result_of(found)
+        result_of(reading)
