--- a/tests/peers/fleet.py
+++ b/tests/peers/fleet.py
@@ -43,7 +43,7 @@
         self.history: list[StoredObject] = []
         # (kind, since, Deferred) of each waiting watch.
         self.waiting: list[tuple[str, int, defer.Deferred]] = []
-        self.calls = 0
+        self.call_count = 0
 
     def write(self, kind, name, value, deleted=False):
         self.revision += 1
@@ -91,7 +91,7 @@
         self.state = state
 
     def _failure(self, wait=0.0):
-        self.store.calls += 1
+        self.store.call_count += 1
         if self.state == "open":
             return None
         failed = defer.Deferred()
@@ -268,9 +268,9 @@
 
     def count_calls(self, seconds):
         """Advance the clock and return the number of store calls made by all gateways."""
-        before = self.store.calls
+        before = self.store.call_count
         self.pass_time(seconds)
-        return self.store.calls - before
+        return self.store.call_count - before
 
     def ready_in_store(self):
         return {
--- a/tests/peers/test_sync.py
+++ b/tests/peers/test_sync.py
@@ -53,11 +53,11 @@
         fleet = Fleet(3, per_data_centre)
         fleet.set_endpoint("e1", "ready")
         fleet.pass_time(SETTLE_SECONDS)
-        before = fleet.store.calls
+        before = fleet.store.call_count
         for change in range(40):
             fleet.set_endpoint(f"e{change}", "ready")
             fleet.pass_time(0.25)
-        calls.append(fleet.store.calls - before)
+        calls.append(fleet.store.call_count - before)
     assert calls[1] <= 1.5 * calls[0]
 
 
@@ -229,7 +229,7 @@
     fleet = Fleet(3, per_data_centre, endpoints=["e1"])
     fleet.pass_time(1.0)
     starting = 4 * len(fleet.gateways)
-    assert fleet.store.calls <= starting + 4 * WATCHERS
+    assert fleet.store.call_count <= starting + 4 * WATCHERS
 
 
 def test_only_watchers_retry_often_during_an_outage(fleet):
--- a/tests/quarantine/test_record.py
+++ b/tests/quarantine/test_record.py
@@ -81,7 +81,7 @@
 def test_only_readers_read(clock, store):
     gateway(clock, store, is_reader=lambda: False)
     pass_time(clock)
-    assert store.calls == 0
+    assert store.call_count == 0
 
 
 @pytest.mark.parametrize("value", [None, {}, {"crashes": 7}, {"crashes": {"xyz": 3}}, []])
