--- a/src/guavacleat/load/__init__.py
+++ b/src/guavacleat/load/__init__.py
@@ -1,4 +1,4 @@
-"""Callers' side: an SSE client for completions, used by the demo and the load tool."""
+"""SSE client for completions, used by the demo and the load tool."""
 
 from guavacleat.load.client import CompletionResult, stream_completion
 
--- a/src/guavacleat/load/client.py
+++ b/src/guavacleat/load/client.py
@@ -1,4 +1,4 @@
-"""A caller of the gateway: posts one completion and reads its SSE events as they arrive."""
+"""Client that posts a completion request and reads the SSE events of the response."""
 
 import json
 
@@ -12,14 +12,14 @@
 
 
 class CompletionResult:
-    """What a caller received for one request.
+    """Response to one request, as received by the caller.
 
     :param status: HTTP status.
     :param indices: the ``index`` of each token event, in arrival order.
     :param texts: the text of each token event, in arrival order.
-    :param arrivals: reactor seconds at which each token event arrived.
-    :param finish_reason: from the final event, or "" if none came.
-    :param error: the error object of an error answer or event, or None.
+    :param arrivals: arrival time of each token event, in reactor seconds.
+    :param finish_reason: from the final event, or "" without one.
+    :param error: the error object of an error response or event, or None.
     :param stream: the handle to reconnect with, from the latest stream event.
     :param retry_after: the Retry-After header, in seconds, or None.
     """
@@ -58,9 +58,9 @@
         self.buffer += data
         *events, self.buffer = self.buffer.split(b"\n\n")
         for event in events:
-            self._take(event.strip())
+            self._handle_event(event.strip())
 
-    def _take(self, event: bytes) -> None:
+    def _handle_event(self, event: bytes) -> None:
         if not event.startswith(EVENT_PREFIX) or event[len(EVENT_PREFIX) :] == DONE_EVENT:
             return
         body = json.loads(event[len(EVENT_PREFIX) :])
@@ -88,8 +88,8 @@
     retry_after = response.headers.getRawHeaders("retry-after")
     result.retry_after = float(retry_after[0]) if retry_after else None
     if response.code != 200:
-        answer = yield response.json()
-        result.error = answer.get("error")
+        payload = yield response.json()
+        result.error = payload.get("error")
         return result
     reader = _EventReader(result, clock)
     yield treq.collect(response, reader.feed)
--- a/src/guavacleat/load/clock.py
+++ b/src/guavacleat/load/clock.py
@@ -1,4 +1,4 @@
-"""A virtual clock for long runs: Twisted's, with its calls in a heap."""
+"""A virtual clock for long runs: a Twisted clock that keeps its calls in a heap."""
 
 import heapq
 import itertools
@@ -10,16 +10,16 @@
 
 
 class HeapClock(Clock):
-    """Runs the same calls in the same order as :class:`Clock`, which sorts all of them each time.
+    """Runs calls in the same order as :class:`Clock`, without sorting all of them on each change.
 
-    An entry of the heap holds the time that its call had then. A call that was put off is found
-    out when its entry comes up; one that was brought forward has a second, earlier entry.
+    A heap entry holds the time its call had when it was pushed. The entry of a delayed call is
+    pushed again when it reaches the top; a call that was moved forward has a second entry.
     """
 
     def __init__(self):
         super().__init__()
         self._heap: list[tuple[float, int, DelayedCall]] = []
-        # Calls of the same time run in the order in which they were made.
+        # Breaks ties: calls due at the same time run in insertion order.
         self._numbers = itertools.count()
 
     def callLater(self, delay, callable, *args, **kwargs):  # noqa: N802 - Twisted's name
@@ -40,7 +40,7 @@
         return sorted(calls.values(), key=lambda call: call.getTime())
 
     def next_time(self) -> float | None:
-        """When the next call is due; None if there is none."""
+        """Return the time of the next call, or None."""
         call = self._first()
         return None if call is None else call.getTime()
 
@@ -55,7 +55,7 @@
         heapq.heappush(self._heap, (call.getTime(), next(self._numbers), call))
 
     def _first(self) -> DelayedCall | None:
-        """The call that is due first, at the top of the heap with its present time."""
+        """Return the earliest active call, left at the top of the heap with its current time."""
         while self._heap:
             at, _, call = self._heap[0]
             if call.active() and call.getTime() <= at:
--- a/src/guavacleat/load/experiment.py
+++ b/src/guavacleat/load/experiment.py
@@ -1,4 +1,4 @@
-"""Runs one workload under one policy on a virtual clock and records what each caller saw."""
+"""Runs a workload under a policy on a virtual clock and records what each caller received."""
 
 import itertools
 
@@ -15,16 +15,16 @@
 __all__ = ["CallerLog", "EngineSizes", "POLICIES_BY_NAME", "Run", "run_policy"]
 
 POLICIES_BY_NAME = {
-    "guavacleat": Policy("guavacleat", "cache-load", "fair", keeps_room=True),
-    "least-loaded": Policy("least-loaded", "least-loaded", "fifo", keeps_room=False),
-    "round-robin": Policy("round-robin", "round-robin", "fifo", keeps_room=False),
+    "guavacleat": Policy("guavacleat", "cache-load", "fair", reserves_headroom=True),
+    "least-loaded": Policy("least-loaded", "least-loaded", "fifo", reserves_headroom=False),
+    "round-robin": Policy("round-robin", "round-robin", "fifo", reserves_headroom=False),
 }
-# After the last arrival a run goes on for this long at most, for what is still running.
+# Upper limit for open requests to finish after the last arrival.
 DRAIN_SECONDS = 300.0
 
 
 class EngineSizes:
-    """Sizes of the run's engines; defaults near the users' engines, 30 ms a token."""
+    """Sizes of the run's engines; memory in tokens, prefill rate in tokens per second."""
 
     __slots__ = ("step_seconds", "slots", "memory", "cache_blocks", "prefill_rate")
 
@@ -50,10 +50,10 @@
 
 
 class CallerLog:
-    """What one caller saw: a sink for the relay, and the request's outcome.
+    """Sink of the relay that records one request's tokens and outcome.
 
-    :param token_times: when each token came, by index.
-    :param outcome: ``completed``, ``not_run``, ``failed`` or, if the run ended first, ``open``.
+    :param token_times: arrival time of each token, by index.
+    :param outcome: ``completed``, ``not_run``, ``failed``, or ``open`` if the run ended first.
     """
 
     __slots__ = ("arrival", "clock", "gone", "token_times", "indices", "texts", "outcome", "ended")
@@ -69,7 +69,7 @@
         self.ended: float | None = None
 
     def set_handle(self, handle: str) -> None:
-        """The stream's handle is of no use here: callers of a run do not reconnect."""
+        """Ignores the handle, because callers of a run do not reconnect."""
 
     def token(self, index: int, text: str) -> None:
         self.indices.append(index)
@@ -81,15 +81,15 @@
 
 
 class Run:
-    """The outcome of one policy on one workload.
+    """The result of one policy on one workload.
 
-    :param patience: seconds a caller waits for its first token.
+    :param first_token_timeout: seconds that a caller waits for its first token.
     """
 
-    __slots__ = ("policy", "workload", "logs", "fleet", "seconds", "patience")
+    __slots__ = ("policy", "workload", "logs", "fleet", "seconds", "first_token_timeout")
 
-    def __init__(self, policy, workload, logs, fleet, seconds: float, patience: float):
-        self.patience = patience
+    def __init__(self, policy, workload, logs, fleet, seconds: float, first_token_timeout: float):
+        self.first_token_timeout = first_token_timeout
         self.policy = policy
         self.workload = workload
         self.logs = logs
@@ -108,10 +108,10 @@
     faults=None,
     on_progress=lambda now: None,
 ) -> Run:
-    """Play ``requests`` under ``policy`` and return the finished :class:`Run`.
+    """Simulate ``requests`` under ``policy`` and return the finished :class:`Run`.
 
     :param faults: called with the fleet before the start, to schedule faults on its clock.
-    :param on_progress: called with the virtual time after each step of it.
+    :param on_progress: called with the virtual time after each step.
     """
     clock = HeapClock()
     sizes = sizes or EngineSizes()
@@ -125,14 +125,16 @@
     )
     limits = Limits(1000, policy.in_flight, retry_after=1.0, max_wait=max_wait)
     logs = [CallerLog(arrival, clock) for arrival in requests]
-    _send_next(clock, zip(logs, itertools.cycle(fleet.gateways), strict=False), workload, limits)
+    _schedule_next(
+        clock, zip(logs, itertools.cycle(fleet.gateways), strict=False), workload, limits
+    )
     if faults is not None:
         faults(fleet)
-    _play(clock, logs, seconds, on_progress)
+    _run_until_done(clock, logs, seconds, on_progress)
     return Run(policy, workload, logs, fleet, seconds, max_wait)
 
 
-def _play(clock: HeapClock, logs, seconds: float, on_progress) -> None:
+def _run_until_done(clock: HeapClock, logs, seconds: float, on_progress) -> None:
     while clock.seconds() < seconds + DRAIN_SECONDS:
         if clock.seconds() > seconds and not any(log.outcome == "open" for log in logs):
             return
@@ -140,15 +142,15 @@
         on_progress(clock.seconds())
 
 
-def _send_next(clock: HeapClock, calls, workload: Workload, limits: Limits) -> None:
-    """Schedule the next arrival, which schedules the one after it when it comes."""
+def _schedule_next(clock: HeapClock, calls, workload: Workload, limits: Limits) -> None:
+    """Schedule the next arrival, which in turn schedules its successor."""
     log, gateway = next(calls, (None, None))
     if log is None:
         return
 
     def arrive():
         _send(log, gateway, workload, limits)
-        _send_next(clock, calls, workload, limits)
+        _schedule_next(clock, calls, workload, limits)
 
     clock.callLater(max(0.0, log.arrival.at - clock.seconds()), arrive)
 
--- a/src/guavacleat/load/fleet.py
+++ b/src/guavacleat/load/fleet.py
@@ -1,8 +1,8 @@
-"""Gateways, sidecars and stand-in engines in one process, on one clock that may be virtual.
+"""Gateways, sidecars and stand-in engines in one process, on a real or virtual clock.
 
-The decisions are the product's own (relay, dispatcher, router, sidecar handler); only the links
-between them are replaced, by calls delayed ``LINK_SECONDS`` each way, so a run on
-``twisted.internet.task.Clock`` is exact and repeatable. Links can be cut, stalled or refused.
+Relay, dispatcher, router and sidecar handler are the production classes; only the network between
+them is replaced, by calls delayed ``LINK_SECONDS`` each way. A run on
+``twisted.internet.task.Clock`` is therefore deterministic. Links can be reset, stalled or refused.
 """
 
 import itertools
@@ -25,39 +25,40 @@
 
 __all__ = ["Fleet", "FleetEndpoint", "FleetGateway", "LINK_SECONDS", "Policy"]
 
-# One way between data centres at today's sites is about a millisecond and a half.
+# One-way latency between data centres.
 LINK_SECONDS = 0.0015
 IDLE_SWEEP_SECONDS = 1.0
 
 
 class Policy:
-    """One way of deciding: a router and a queue by name, and whether sidecars keep room.
+    """A scheduling policy: a router and a queue by name, and the limits on endpoints.
 
-    :param in_flight: streams a gateway keeps on one endpoint at most.
+    :param reserves_headroom: whether sidecars limit admission by their engine's memory.
+    :param in_flight: maximum number of streams of a gateway on one endpoint.
     :param headroom: share of an engine's memory that its sidecar keeps free.
     """
 
-    __slots__ = ("name", "router", "queue", "keeps_room", "in_flight", "headroom")
+    __slots__ = ("name", "router", "queue", "reserves_headroom", "in_flight", "headroom")
 
     def __init__(
         self,
         name: str,
         router: str,
         queue: str,
-        keeps_room: bool,
+        reserves_headroom: bool,
         in_flight: int = 64,
         headroom: float = HEADROOM,
     ):
         self.name = name
         self.router = router
         self.queue = queue
-        self.keeps_room = keeps_room
+        self.reserves_headroom = reserves_headroom
         self.in_flight = in_flight
         self.headroom = headroom
 
 
 class DirectEngine:
-    """Stands for :class:`EngineClient`, calling an engine without HTTP."""
+    """Replaces :class:`EngineClient` by direct calls to an engine."""
 
     def __init__(self, engine: Engine):
         self.engine = engine
@@ -91,7 +92,7 @@
 
 
 class FleetEndpoint:
-    """One endpoint: its engine, its sidecar's handler, and the state of the link to it."""
+    """One endpoint: its engine, sidecar handler and link state."""
 
     def __init__(self, clock, name: str, service: str, engine_settings, policy: Policy):
         self.clock = clock
@@ -100,36 +101,36 @@
         self.engine = Engine(clock, engine_settings)
         link = DirectEngine(self.engine)
         self.handler = SidecarHandler(name, link, None, clock, policy.headroom)
-        if policy.keeps_room:
+        if policy.reserves_headroom:
             self.handler.refresh_capacity()
-        self.dead = False
+        self.terminated = False
         self.drain_started_at: float | None = None
         self.stalled_until = 0.0
-        # In order of the calls, so that a run repeats exactly.
-        self.waiting: dict[defer.Deferred, None] = {}
+        # A dict rather than a set: iteration in insertion order keeps runs deterministic.
+        self.pending_calls: dict[defer.Deferred, None] = {}
 
     def record(self) -> dict:
         draining = self.drain_started_at is not None
         return EndpointRecord(self.name, self.service, "dc", self.name, draining).to_json()
 
     def kill(self) -> None:
-        """The instance dies: its link resets, and it answers nobody any more."""
-        self.dead = True
-        for pending in list(self.waiting):
+        """Terminate the instance: reset pending calls and refuse new ones."""
+        self.terminated = True
+        for pending in list(self.pending_calls):
             pending.errback(ConnectionResetError(self.name))
 
     def drain(self) -> None:
-        """A planned stop: no new work, and the open streams finish."""
+        """Begin a graceful shutdown: accept no new work and finish the open streams."""
         self.drain_started_at = self.clock.seconds()
         self.handler.begin_drain()
 
     def stall(self, seconds: float) -> None:
-        """Nothing passes the link for ``seconds``; calls wait in it."""
+        """Delay all calls and responses on the link for ``seconds``."""
         self.stalled_until = self.clock.seconds() + seconds
 
 
 class DirectLink:
-    """A gateway's client of one endpoint: each call crosses the link and so does its answer."""
+    """A gateway's client for one endpoint; delays each call and its response by the link."""
 
     def __init__(self, clock, endpoint: FleetEndpoint):
         self.clock = clock
@@ -141,39 +142,39 @@
 
     def _call(self, method, *args) -> defer.Deferred:
         endpoint = self.endpoint
-        answer = defer.Deferred(canceller=lambda _: None)
-        endpoint.waiting[answer] = None
-        answer.addBoth(_forget, endpoint.waiting, answer)
-        if endpoint.dead:
-            answer.errback(ConnectionResetError(endpoint.name))
-            return answer
-
-        def arrive():
-            if not endpoint.dead:
-                defer.maybeDeferred(method, *args).addBoth(leave)
-
-        def leave(result):
+        response = defer.Deferred(canceller=lambda _: None)
+        endpoint.pending_calls[response] = None
+        response.addBoth(_remove_pending, endpoint.pending_calls, response)
+        if endpoint.terminated:
+            response.errback(ConnectionResetError(endpoint.name))
+            return response
+
+        def receive_call():
+            if not endpoint.terminated:
+                defer.maybeDeferred(method, *args).addBoth(send_result)
+
+        def send_result(result):
             self.clock.callLater(self._delay(), deliver, result)
 
         def deliver(result):
-            if not answer.called and not endpoint.dead:
-                answer.callback(result)
+            if not response.called and not endpoint.terminated:
+                response.callback(result)
 
-        self.clock.callLater(self._delay(), arrive)
-        return answer
+        self.clock.callLater(self._delay(), receive_call)
+        return response
 
     def _delay(self) -> float:
         stalled = max(0.0, self.endpoint.stalled_until - self.clock.seconds())
         return LINK_SECONDS + stalled
 
 
-def _forget(result, waiting: dict, answer):
-    waiting.pop(answer, None)
+def _remove_pending(result, pending_calls: dict, response):
+    pending_calls.pop(response, None)
     return result
 
 
 class DirectPool:
-    """Stands for :class:`SidecarPool`."""
+    """Replaces :class:`SidecarPool`."""
 
     def __init__(self, clock, endpoints_by_name: dict[str, FleetEndpoint]):
         self.clock = clock
@@ -181,16 +182,16 @@
 
     def client(self, address: str) -> defer.Deferred:
         endpoint = self.endpoints_by_name[address]
-        if endpoint.dead:
+        if endpoint.terminated:
             return defer.fail(ConnectionRefusedError(address))
         return defer.succeed(DirectLink(self.clock, endpoint))
 
     def discard(self, address: str) -> None:
-        """A direct link has no connection to drop."""
+        """Does nothing: direct links have no connection."""
 
 
 class FleetGateway:
-    """What one gateway decides with."""
+    """The membership view, router, dispatcher and relay of one gateway."""
 
     def __init__(self, clock, name: str, pool: DirectPool, policy: Policy):
         self.membership = MembershipView(clock, owner=name)
@@ -202,10 +203,10 @@
 
 
 class Fleet:
-    """Endpoints by name and the gateways before them.
+    """Endpoints and the gateways that route to them.
 
     :param services_by_endpoint: service names by endpoint name.
-    :param engine_settings: called with an endpoint's name, gives its ``EngineSettings``.
+    :param engine_settings: maps an endpoint's name to its ``EngineSettings``.
     """
 
     def __init__(self, clock, services_by_endpoint, engine_settings, gateways: int, policy: Policy):
@@ -216,23 +217,25 @@
         }
         pool = DirectPool(clock, self.endpoints_by_name)
         self.gateways = [FleetGateway(clock, f"gateway-{n}", pool, policy) for n in range(gateways)]
-        Periodic(clock, HEARTBEAT_SECONDS, self._beat).start()
-        Periodic(clock, IDLE_SWEEP_SECONDS, self._sweep).start()
+        Periodic(clock, HEARTBEAT_SECONDS, self._send_heartbeats).start()
+        Periodic(clock, IDLE_SWEEP_SECONDS, self._cancel_idle_streams).start()
         for gateway in self.gateways:
             gateway.poll.rounds.start()
 
-    def _beat(self) -> None:
-        living = [endpoint for endpoint in self.endpoints_by_name.values() if not endpoint.dead]
-        for gateway, endpoint in itertools.product(self.gateways, living):
+    def _send_heartbeats(self) -> None:
+        running = [
+            endpoint for endpoint in self.endpoints_by_name.values() if not endpoint.terminated
+        ]
+        for gateway, endpoint in itertools.product(self.gateways, running):
             gateway.membership.observe(endpoint.record())
 
-    def _sweep(self) -> None:
+    def _cancel_idle_streams(self) -> None:
         for endpoint in self.endpoints_by_name.values():
             endpoint.handler.cancel_idle()
 
     def preemptions(self) -> int:
         return sum(endpoint.engine.preemptions for endpoint in self.endpoints_by_name.values())
 
-    def prompt_tokens_read(self) -> int:
+    def prefilled_tokens(self) -> int:
         engines = (endpoint.engine for endpoint in self.endpoints_by_name.values())
-        return sum(engine.prompt_tokens_read for engine in engines)
+        return sum(engine.prefilled_tokens for engine in engines)
--- a/src/guavacleat/load/plots.py
+++ b/src/guavacleat/load/plots.py
@@ -1,10 +1,10 @@
-"""Plots of a load run, one file for all policies of one workload."""
+"""Plots of a load run, one file for all policies of a workload."""
 
 import matplotlib
 
 matplotlib.use("Agg")
 
-from matplotlib import pyplot  # noqa: E402 - the backend must be chosen first
+from matplotlib import pyplot  # noqa: E402 - the backend must be set first
 
 from guavacleat.load.report import ALL, Report  # noqa: E402
 
@@ -12,7 +12,7 @@
 
 
 def save_plots(reports: list[Report], path: str, title: str) -> None:
-    """Save stall time, preemptions, first tokens and shares of each policy to ``path``."""
+    """Plot stalls, preemptions, time to first token and shares of each policy to ``path``."""
     figure, axes = pyplot.subplots(2, 2, figsize=(11, 8))
     totals = [report.total() for report in reports]
     names = [report.policy for report in reports]
--- a/src/guavacleat/load/report.py
+++ b/src/guavacleat/load/report.py
@@ -1,4 +1,4 @@
-"""What a run's callers saw, per client account and class, and against the baselines."""
+"""Aggregates the results of a run per client account and priority class."""
 
 import itertools
 import json
@@ -10,19 +10,19 @@
 
 __all__ = ["Report", "Row", "STALL_GAP_SECONDS", "fair_shares", "make_report", "table"]
 
-# A caller hears a pause between tokens as silence from about three token times on.
+# Longer gaps between tokens count as stalls.
 STALL_GAP_SECONDS = 0.1
 ALL = "all"
 
 
 class Row:
-    """Figures of one account and class (or ``all``); times in seconds.
+    """Figures for one account and class (or ``all``); times in seconds.
 
-    :param waits: time to first token, summed over the answered requests.
-    :param stalls: time in gaps over ``STALL_GAP_SECONDS`` within answers, summed.
-    :param on_time: answers whose first token came within the callers' patience (``max_wait``).
-    :param goodput: tokens a second of those answers.
-    :param share: work done over the fair share of it (1 and more: got its due); accounts only.
+    :param waits: sum of the times to first token, over requests with a first token.
+    :param stalls: sum of the gaps between tokens longer than ``STALL_GAP_SECONDS``.
+    :param on_time: completed requests with their first token within ``max_wait``.
+    :param goodput: tokens per second of the on-time requests.
+    :param share: on-time work divided by the account's fair share; accounts only.
     """
 
     __slots__ = (
@@ -54,7 +54,7 @@
 
     @property
     def stall_time(self) -> float:
-        """All the time callers heard nothing: waits for first tokens and stalls after them."""
+        """Total time without output: waits for first tokens and later stalls."""
         return self.waits + self.stalls
 
     def to_json(self) -> dict:
@@ -62,61 +62,61 @@
 
 
 class Report:
-    """A policy's rows: one over everything, one per class, one per account, one per both.
+    """A policy's rows: one in total and one per class, per account and per account and class.
 
-    :param violations: promises the run broke, see :mod:`guavacleat.checks.runs`.
+    :param violations: invariants that the run violated, see :mod:`guavacleat.checks.runs`.
     """
 
-    __slots__ = ("policy", "rows_by_key", "prompt_tokens_read", "violations")
+    __slots__ = ("policy", "rows_by_key", "prefilled_tokens", "violations")
 
-    def __init__(self, policy: str, rows_by_key, prompt_tokens_read: int, violations):
+    def __init__(self, policy: str, rows_by_key, prefilled_tokens: int, violations):
         self.violations = violations
         self.policy = policy
         self.rows_by_key = rows_by_key
-        self.prompt_tokens_read = prompt_tokens_read
+        self.prefilled_tokens = prefilled_tokens
 
     def total(self) -> Row:
         return self.rows_by_key[ALL, ALL]
 
     def least_share(self) -> float:
-        """The worst-served account's work over its fair share."""
+        """Return the lowest ratio of work to fair share over all accounts."""
         shares = (row.share for row in self.rows_by_key.values() if row.share is not None)
         return min(shares, default=1.0)
 
     def to_json(self) -> dict:
         rows = [row.to_json() for _, row in sorted(self.rows_by_key.items())]
-        return {"policy": self.policy, "read": self.prompt_tokens_read, "rows": rows}
+        return {"policy": self.policy, "read": self.prefilled_tokens, "rows": rows}
 
 
 def make_report(run: Run) -> Report:
-    """Add up what the callers of ``run`` saw."""
+    """Aggregate the results of ``run``."""
     rows_by_key: dict[tuple[str, str], Row] = {}
-    book = LatencyHistograms()
+    latencies = LatencyHistograms()
     for log in run.logs:
-        for key in _keys(log.arrival.account, log.arrival.kind.priority_class):
+        for key in _row_keys(log.arrival.account, log.arrival.kind.priority_class):
             row = rows_by_key.setdefault(key, Row(*key))
             _add(row, log, run)
-            _record(book, key, log)
+            _record(latencies, key, log)
     for gateway, key in itertools.product(run.fleet.gateways, list(rows_by_key)):
         if ALL not in key:
             labels = {"account": key[0], "class": key[1]}
-            for wider in _keys(*key):
+            for wider in _row_keys(*key):
                 rows_by_key[wider].preemptions += gateway.metrics.preemption_count(labels)
-    _fill_percentiles(book, rows_by_key)
+    _fill_percentiles(latencies, rows_by_key)
     for account, share in _shares(run).items():
         rows_by_key[account, ALL].share = share
-    read = run.fleet.prompt_tokens_read()
-    return Report(run.policy.name, rows_by_key, read, check_run(run))
+    prefilled = run.fleet.prefilled_tokens()
+    return Report(run.policy.name, rows_by_key, prefilled, check_run(run))
 
 
-def _keys(account: str, priority_class: str):
+def _row_keys(account: str, priority_class: str):
     return itertools.product((account, ALL), (priority_class, ALL))
 
 
 def _on_time(log, run: Run) -> bool:
     if log.outcome != "completed":
         return False
-    return log.token_times[0] - log.arrival.at <= run.patience
+    return log.token_times[0] - log.arrival.at <= run.first_token_timeout
 
 
 def _add(row: Row, log, run: Run) -> None:
@@ -136,45 +136,46 @@
     return (after - before for before, after in itertools.pairwise(log.token_times))
 
 
-def _record(book: LatencyHistograms, key: tuple[str, str], log) -> None:
+def _record(latencies: LatencyHistograms, key: tuple[str, str], log) -> None:
     if log.token_times:
-        book.record("ttft", *key, log.token_times[0] - log.arrival.at)
+        latencies.record("ttft", *key, log.token_times[0] - log.arrival.at)
     for gap in _gaps(log):
-        book.record("gap", *key, gap)
+        latencies.record("gap", *key, gap)
 
 
-def _fill_percentiles(book: LatencyHistograms, rows_by_key) -> None:
-    for summary in book.summary():
+def _fill_percentiles(latencies: LatencyHistograms, rows_by_key) -> None:
+    for summary in latencies.summary():
         row = rows_by_key[summary["account"], summary["class"]]
         figures = {name: summary[name] for name in ("p50", "p95", "p99")}
         setattr(row, summary["measure"], figures)
 
 
 def _shares(run: Run) -> dict[str, float]:
-    """Each account's work done on time over its fair share of all such work."""
-    asked: dict[str, float] = {}
-    done: dict[str, float] = {}
+    """Return the ratio of each account's on-time work to its fair share of the total."""
+    requested_work: dict[str, float] = {}
+    completed_work: dict[str, float] = {}
     for log in run.logs:
         work = len(log.arrival.prompt.split()) * PROMPT_TOKEN_COST + log.arrival.length
         account = log.arrival.account
-        asked[account] = asked.get(account, 0.0) + work
-        done[account] = done.get(account, 0.0) + work * _on_time(log, run)
-    fair = fair_shares(asked, run.workload.weights_by_account, sum(done.values()))
-    return {account: done[account] / fair[account] for account in asked}
+        requested_work[account] = requested_work.get(account, 0.0) + work
+        completed_work[account] = completed_work.get(account, 0.0) + work * _on_time(log, run)
+    fair = fair_shares(
+        requested_work, run.workload.weights_by_account, sum(completed_work.values())
+    )
+    return {account: completed_work[account] / fair[account] for account in requested_work}
 
 
-def fair_shares(asked: dict[str, float], weights: dict[str, float], total: float):
-    """Weighted max-min shares of ``total``: nobody gets more than it asked for, and what it
-    leaves over is shared by weight among the others."""
+def fair_shares(requested_work: dict[str, float], weights: dict[str, float], total: float):
+    """Return weighted max-min fair shares of ``total``, limited by each account's demand."""
     shares: dict[str, float] = {}
-    left, open_accounts = total, set(asked)
-    while open_accounts:
-        unit = left / sum(weights[account] for account in open_accounts)
-        content = {a for a in open_accounts if asked[a] <= unit * weights[a] * (1 + 1e-9)}
-        for account in content or open_accounts:
-            shares[account] = min(asked[account], unit * weights[account])
-            left -= shares[account]
-        open_accounts -= content or open_accounts
+    remaining, unsatisfied = total, set(requested_work)
+    while unsatisfied:
+        unit = remaining / sum(weights[account] for account in unsatisfied)
+        satisfied = {a for a in unsatisfied if requested_work[a] <= unit * weights[a] * (1 + 1e-9)}
+        for account in satisfied or unsatisfied:
+            shares[account] = min(requested_work[account], unit * weights[account])
+            remaining -= shares[account]
+        unsatisfied -= satisfied or unsatisfied
     return shares
 
 
@@ -203,7 +204,7 @@
 
 
 def table(reports: list[Report], per_account: bool = False) -> list[str]:
-    """Lines of a table: all and per class of each policy, per account too if asked for."""
+    """Format a table with the total and the classes of each policy, and optionally accounts."""
     lines = ["  ".join(name.rjust(width) for name, width, _ in COLUMNS)]
     for report in reports:
         for (account, _), row in sorted(report.rows_by_key.items()):
--- a/src/guavacleat/load/workloads.py
+++ b/src/guavacleat/load/workloads.py
@@ -1,23 +1,30 @@
-"""Seeded workloads shaped like the two deployments, with output lengths unknown to the system.
+"""Seeded workloads that model the traffic of two deployments.
 
-A workload is a list of :class:`Arrival` in order of time, the same for every policy. Kinds of
-request, their rates and the accounts' demand are in :data:`WORKLOADS_BY_NAME`. Demand is skewed
-against the accounts' weights on purpose: one large account asks for far more than its share.
+A workload yields the same time-ordered list of :class:`Arrival` for every policy. Output lengths
+are unknown to gateways and sidecars. Accounts' demand deliberately differs from their weights: one
+large account requests far more than its share.
 """
 
 import itertools
 import random
 
-__all__ = ["Arrival", "Kind", "WORKLOADS_BY_NAME", "Workload", "arrivals", "services_by_endpoint"]
+__all__ = [
+    "Arrival",
+    "RequestKind",
+    "WORKLOADS_BY_NAME",
+    "Workload",
+    "arrivals",
+    "services_by_endpoint",
+]
 
 
-class Kind:
+class RequestKind:
     """One kind of request.
 
-    :param rate: requests a second before the surge, over all accounts.
-    :param shared: tokens of a prompt's start that requests about the same subject share.
-    :param subjects: how many subjects there are.
-    :param own: tokens of a prompt that are its own.
+    :param rate: requests per second outside the surge, over all accounts.
+    :param shared_tokens: length of the prompt prefix shared by requests on the same subject.
+    :param subjects: number of subjects.
+    :param unique_tokens: length of the rest of the prompt.
     :param repeatable: false if a request of this kind may run at most once.
     :param median: median output length in tokens; lengths are log-normal with ``sigma``.
     """
@@ -28,9 +35,9 @@
         "priority_class",
         "priority",
         "rate",
-        "shared",
+        "shared_tokens",
         "subjects",
-        "own",
+        "unique_tokens",
         "median",
         "sigma",
         "max_tokens",
@@ -44,9 +51,9 @@
         priority_class,
         priority,
         rate,
-        shared,
+        shared_tokens,
         subjects,
-        own,
+        unique_tokens,
         median,
         sigma,
         max_tokens,
@@ -57,9 +64,9 @@
         self.priority_class = priority_class
         self.priority = priority
         self.rate = rate
-        self.shared = shared
+        self.shared_tokens = shared_tokens
         self.subjects = subjects
-        self.own = own
+        self.unique_tokens = unique_tokens
         self.median = median
         self.sigma = sigma
         self.max_tokens = max_tokens
@@ -67,11 +74,11 @@
 
 
 class Workload:
-    """A deployment's traffic: kinds, accounts with weight and demand, engines, and the surge.
+    """A deployment's request kinds, accounts with weight and demand, engines, and load surge.
 
     :param demand_by_account: relative request rate of each account.
     :param endpoints_by_service: number of engines of each service.
-    :param surge: ``(from, to, factor)``, the times as shares of the run.
+    :param surge: ``(start, end, factor)``: a factor on all rates, with times as shares of the run.
     """
 
     __slots__ = (
@@ -91,11 +98,13 @@
 
 
 class Arrival:
-    """One request of a run; ``length`` is known to the engine stand-in alone."""
+    """One request of a run; only the stand-in engine knows ``length``."""
 
     __slots__ = ("at", "request_id", "kind", "account", "prompt", "length")
 
-    def __init__(self, at: float, request_id: str, kind: Kind, account: str, prompt, length: int):
+    def __init__(
+        self, at: float, request_id: str, kind: RequestKind, account: str, prompt, length: int
+    ):
         self.at = at
         self.request_id = request_id
         self.kind = kind
@@ -107,19 +116,21 @@
 LARGE = {"large-1": 8, "large-2": 6, "large-3": 5}
 SMALL = {f"small-{n}": 1 for n in range(1, 8)}
 WEIGHTS = {**LARGE, **SMALL}
-# large-1 asks for half of everything, though its weight is 8 of 26.
+# large-1 requests half of the total with a weight of 8 out of 26.
 DEMAND = {"large-1": 26, "large-2": 9, "large-3": 7, **{name: 1.5 for name in SMALL}}
 
-# Every account asks for at least its share of a full system, large-1 for three times as much.
+# Every account requests at least its share of a saturated system, large-1 three times its share.
 CONTENDED = {**WEIGHTS, "large-1": 24}
 
 WORKLOADS_BY_NAME = {
     "nile": Workload(
         kinds=(
-            Kind(
+            RequestKind(
                 "listing-summary", "enquiry-lm", "standard", 5, 1.2, 1504, 40, 1500, 500, 0.9, 4000
             ),
-            Kind("intent-tag", "enquiry-lm", "interactive", 0, 4.0, 352, 10, 600, 12, 0.4, 64),
+            RequestKind(
+                "intent-tag", "enquiry-lm", "interactive", 0, 4.0, 352, 10, 600, 12, 0.4, 64
+            ),
         ),
         weights_by_account=WEIGHTS,
         demand_by_account=DEMAND,
@@ -128,8 +139,10 @@
     ),
     "contended": Workload(
         kinds=(
-            Kind("summary", "enquiry-lm", "standard", 5, 3.0, 1504, 40, 500, 400, 0.9, 2000),
-            Kind("intent-tag", "enquiry-lm", "interactive", 0, 4.0, 352, 10, 600, 12, 0.4, 64),
+            RequestKind("summary", "enquiry-lm", "standard", 5, 3.0, 1504, 40, 500, 400, 0.9, 2000),
+            RequestKind(
+                "intent-tag", "enquiry-lm", "interactive", 0, 4.0, 352, 10, 600, 12, 0.4, 64
+            ),
         ),
         weights_by_account=WEIGHTS,
         demand_by_account=CONTENDED,
@@ -138,9 +151,11 @@
     ),
     "keurplan": Workload(
         kinds=(
-            Kind("prep-summary", "keur-llm", "standard", 5, 1.2, 2000, 60, 1000, 700, 1.0, 4000),
-            Kind("slot-check", "keur-llm", "interactive", 0, 3.0, 352, 10, 500, 12, 0.4, 64),
-            Kind("reminder-text", "keur-llm", "batch", 10, 1.5, 160, 4, 200, 80, 0.5, 400),
+            RequestKind(
+                "prep-summary", "keur-llm", "standard", 5, 1.2, 2000, 60, 1000, 700, 1.0, 4000
+            ),
+            RequestKind("slot-check", "keur-llm", "interactive", 0, 3.0, 352, 10, 500, 12, 0.4, 64),
+            RequestKind("reminder-text", "keur-llm", "batch", 10, 1.5, 160, 4, 200, 80, 0.5, 400),
         ),
         weights_by_account=WEIGHTS,
         demand_by_account=DEMAND,
@@ -160,7 +175,7 @@
 
 
 def arrivals(workload: Workload, seconds: float, seed: int, load: float = 1.0) -> list[Arrival]:
-    """Every request of a run of ``seconds``, drawn from ``seed``; ``load`` scales all rates."""
+    """Return the requests of a run of ``seconds``, drawn from ``seed``; ``load`` scales rates."""
     by_kind = [
         _arrivals_of(workload, kind, seconds, random.Random(f"{seed}/{kind.name}"), load)
         for kind in workload.kinds
@@ -168,7 +183,7 @@
     return sorted(itertools.chain.from_iterable(by_kind), key=lambda arrival: arrival.at)
 
 
-def _arrivals_of(workload: Workload, kind: Kind, seconds: float, rng, load: float):
+def _arrivals_of(workload: Workload, kind: RequestKind, seconds: float, rng, load: float):
     accounts = list(workload.demand_by_account)
     demand = list(workload.demand_by_account.values())
     at = 0.0
@@ -194,7 +209,7 @@
     return factor if start <= share < end else 1.0
 
 
-def _prompt(kind: Kind, subject: int, number: int) -> str:
-    shared = (f"{kind.name}-{subject}-{n}" for n in range(kind.shared))
-    own = (f"{number}-{n}" for n in range(kind.own))
-    return " ".join(itertools.chain(shared, own))
+def _prompt(kind: RequestKind, subject: int, number: int) -> str:
+    shared_tokens = (f"{kind.name}-{subject}-{n}" for n in range(kind.shared_tokens))
+    unique_tokens = (f"{number}-{n}" for n in range(kind.unique_tokens))
+    return " ".join(itertools.chain(shared_tokens, unique_tokens))
--- a/src/guavacleat/standin/__init__.py
+++ b/src/guavacleat/standin/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins for the platform's systems, for tests and the demo: object API and model engine."""
+"""Stand-ins for the platform's object store and the model engines, for tests and the demo."""
--- a/src/guavacleat/standin/engine.py
+++ b/src/guavacleat/standin/engine.py
@@ -1,20 +1,21 @@
-"""Stand-in model engine: continuous batching over a simulated key-value memory.
-
-Each step (``step_seconds``) every running sequence emits one token and grows its memory by one
-token. Waiting sequences are admitted by priority (lower number first), then arrival, while the
-batch and memory have room. A sequence's prompt is read before its first token, at
-``prefill_rate`` tokens a second and at most ``prefill_chunk`` a step, which makes that step
-longer for every running sequence; the blocks of its prefix that are cached need no reading.
-When memory fills mid-decode the engine preempts the least urgent, newest sequence: it goes back
-to waiting, keeps the tokens it has emitted, reads prompt and tokens in again later and goes on
-in the same generation.
-
-Output lengths are drawn from a heavy-tailed distribution seeded by the request id, capped by
-``max_tokens``, so neither caller nor gateway knows them ahead (benchmarks may fix the length
-with ``output_length``). Load reports lag by
-``load_lag`` seconds; cache events are published ``event_lag`` seconds late and every
-``event_gap_every``-th one is dropped. Orders carry a fencing number; with ``fencing="refuse"``
-an order below the highest seen is refused, with ``fencing="ignore"`` it is applied anyway.
+"""Stand-in model engine: continuous batching over a simulated KV cache.
+
+Each step (``step_seconds``) decodes one token for every running sequence, which adds one token to
+its KV cache. Waiting sequences are admitted by priority (lower number first), then by arrival,
+while the batch and the KV cache have room. A sequence's prompt is prefilled before its first token,
+at ``prefill_rate`` tokens per second and at most ``prefill_chunk`` tokens per step; a step with
+prefill takes longer for every running sequence. Cached prefix blocks need no prefill.
+
+When the KV cache overflows during decoding, the engine preempts the sequence with the lowest
+priority that arrived last. It returns to the waiting queue with the tokens it has emitted, is
+prefilled again later and continues the same generation.
+
+Output lengths are drawn from a heavy-tailed distribution seeded by the request ID and capped by
+``max_tokens``, so neither callers nor gateways know them in advance; ``output_length`` fixes them.
+Load reports lag by ``load_lag`` seconds. Cache events are published after ``event_lag`` seconds,
+and every ``event_gap_every``-th event is dropped. Orders carry a fencing token: with
+``fencing="refuse"`` an order whose token is below the highest seen is refused, with
+``fencing="ignore"`` it is applied.
 """
 
 import bisect
@@ -37,7 +38,7 @@
 
 
 class Engine:
-    """The engine's state machine, driven by the reactor's clock."""
+    """State machine of the engine, driven by the reactor's clock."""
 
     def __init__(self, clock: IReactorTime, settings: EngineSettings):
         self.clock = clock
@@ -51,7 +52,7 @@
         self.highest_fencing = 0
         self.loaded_by_kind: dict[str, str] = {}
         self.preemptions = 0
-        self.prompt_tokens_read = 0
+        self.prefilled_tokens = 0
         self._ids = itertools.count(1)
         self._event_numbers = itertools.count(1)
         self._stepping = None
@@ -60,10 +61,10 @@
     def submit(
         self, request_id: str, prompt: str, max_tokens: int, priority: int, resume=()
     ) -> Sequence:
-        """Queue a generation and return its sequence; the stream id is new on every call.
+        """Queue a generation and return its sequence, with a new stream ID per call.
 
-        ``resume`` holds tokens another engine already emitted for this request; they are
-        prefilled and the sequence continues from index ``len(resume)``.
+        :param resume: tokens that another engine has emitted for this request; they are prefilled
+            and the sequence continues from index ``len(resume)``.
         """
         stream_id = f"{self.settings.name}-{next(self._ids)}"
         sequence = Sequence(
@@ -83,12 +84,12 @@
             return sequence
         self.waiting.append(sequence)
         if self.settings.prefill_rate is None:
-            self._note_prefix(sequence.blocks)
+            self._cache_prefix(sequence.blocks)
         self._ensure_stepping()
         return sequence
 
     def read(self, stream_id: str, cursor: int, wait: float) -> defer.Deferred:
-        """Fire with the sequence once it has tokens past ``cursor``, is finished, or ``wait``."""
+        """Fire with the sequence on tokens past ``cursor``, its end, or after ``wait`` seconds."""
         sequence = self.sequences_by_id[stream_id]
         if len(sequence.tokens) > cursor or sequence.finished or wait <= 0:
             return defer.succeed(sequence)
@@ -101,32 +102,32 @@
 
     # Steps ------------------------------------------------------------------------------
     def step(self) -> None:
-        """Admit, read prompts, decode a token per sequence read, preempt if memory overflows."""
+        """Admit, prefill, decode one token per prefilled sequence, preempt on KV cache overflow."""
         self._admit()
-        read = self._read_prompts()
-        for sequence in [seq for seq in self.running if not seq.to_read]:
+        prefilled = self._prefill()
+        for sequence in [seq for seq in self.running if not seq.prefill_remaining]:
             self._decode(sequence)
         while self.kv_used() > self.settings.kv_capacity and self.running:
             self._preempt(max(self.running, key=lambda seq: (seq.priority, seq.arrival)))
         self._record_load()
         self._stepping = None
-        self._ensure_stepping(read / self.settings.prefill_rate if read else 0.0)
+        self._ensure_stepping(prefilled / self.settings.prefill_rate if prefilled else 0.0)
 
-    def _read_prompts(self) -> int:
-        """Read up to a chunk of the prompts admitted; return how many tokens were read."""
+    def _prefill(self) -> int:
+        """Prefill up to one chunk of the admitted prompts; return the number of tokens."""
         budget = self.settings.prefill_chunk
-        for sequence in [seq for seq in self.running if seq.to_read]:
-            taken = min(budget, sequence.to_read)
-            sequence.to_read -= taken
-            budget -= taken
-            if taken and not sequence.to_read:
-                self._note_prefix(sequence.blocks)
-        read = self.settings.prefill_chunk - budget
-        self.prompt_tokens_read += read
-        return read
-
-    def _to_read(self, sequence: Sequence) -> int:
-        """Tokens to read before the sequence goes on: all but the cached prefix."""
+        for sequence in [seq for seq in self.running if seq.prefill_remaining]:
+            chunk = min(budget, sequence.prefill_remaining)
+            sequence.prefill_remaining -= chunk
+            budget -= chunk
+            if chunk and not sequence.prefill_remaining:
+                self._cache_prefix(sequence.blocks)
+        prefilled = self.settings.prefill_chunk - budget
+        self.prefilled_tokens += prefilled
+        return prefilled
+
+    def _tokens_to_prefill(self, sequence: Sequence) -> int:
+        """Return the number of tokens to prefill: prompt and output without the cached prefix."""
         if self.settings.prefill_rate is None:
             return 0
         cached = itertools.takewhile(self.cached_blocks.__contains__, sequence.blocks)
@@ -134,11 +135,11 @@
         return max(1, sequence.prompt_tokens + len(sequence.tokens) - cached_tokens)
 
     def kv_used(self) -> int:
-        return sum(seq.kv_held for seq in self.running)
+        return sum(seq.kv_tokens for seq in self.running)
 
-    def _ensure_stepping(self, reading: float = 0.0) -> None:
+    def _ensure_stepping(self, prefill_seconds: float = 0.0) -> None:
         if self._stepping is None and (self.waiting or self.running):
-            delay = self.settings.step_seconds + reading
+            delay = self.settings.step_seconds + prefill_seconds
             self._stepping = self.clock.callLater(delay, self.step)
 
     def _admit(self) -> None:
@@ -149,14 +150,14 @@
             if self.kv_used() + needed > self.settings.kv_capacity:
                 return
             self.waiting.pop(0)
-            candidate.kv_held = needed
-            candidate.to_read = self._to_read(candidate)
+            candidate.kv_tokens = needed
+            candidate.prefill_remaining = self._tokens_to_prefill(candidate)
             self.running.append(candidate)
 
     def _decode(self, sequence: Sequence) -> None:
         index = len(sequence.tokens)
         sequence.tokens.append(token_of(sequence.generation, index))
-        sequence.kv_held += 1
+        sequence.kv_tokens += 1
         if len(sequence.tokens) >= sequence.target_length:
             self._finish(sequence, "stop")
         else:
@@ -164,7 +165,7 @@
 
     def _preempt(self, sequence: Sequence) -> None:
         self.running.remove(sequence)
-        sequence.kv_held = 0
+        sequence.kv_tokens = 0
         sequence.preemptions += 1
         self.preemptions += 1
         self.waiting.append(sequence)
@@ -172,7 +173,7 @@
     def _finish(self, sequence: Sequence, reason: str) -> None:
         sequence.finished = True
         sequence.finish_reason = reason
-        sequence.kv_held = 0
+        sequence.kv_tokens = 0
         for queue in (self.running, self.waiting):
             if sequence in queue:
                 queue.remove(sequence)
@@ -194,14 +195,14 @@
         self.load_history = [entry for entry in self.load_history if entry[0] >= horizon]
 
     def load(self) -> dict:
-        """The load as it was ``load_lag`` seconds ago (the newest older snapshot)."""
+        """Return the newest snapshot that is at least ``load_lag`` seconds old."""
         cutoff = self.clock.seconds() - self.settings.load_lag
         older = [snapshot for at, snapshot in self.load_history if at <= cutoff]
         empty = {"running": 0, "waiting": 0, "kv_used": 0, "preemptions": 0}
         sizes = {"kv_capacity": self.settings.kv_capacity, "slots": self.settings.max_batch}
         return older[-1] if older else {**empty, **sizes}
 
-    def _note_prefix(self, blocks: list[str]) -> None:
+    def _cache_prefix(self, blocks: list[str]) -> None:
         for block in blocks:
             if self.cached_blocks.pop(block, None) is None:
                 self._publish("stored", block)
@@ -219,15 +220,17 @@
                 del self.events[:MAX_EVENTS]
 
     def cache_events(self, since: int) -> list[tuple[int, str, str]]:
-        """Events numbered above ``since`` that are at least ``event_lag`` old; some are missing."""
+        """Return events numbered above ``since`` and older than ``event_lag``, with gaps."""
         cutoff = self.clock.seconds() - self.settings.event_lag
         first = bisect.bisect_right(self.events, since, key=lambda event: event[1])
-        late_enough = itertools.takewhile(lambda event: event[0] <= cutoff, self.events[first:])
-        return [(n, kind, block) for _, n, kind, block in late_enough]
+        published_events = itertools.takewhile(
+            lambda event: event[0] <= cutoff, self.events[first:]
+        )
+        return [(n, kind, block) for _, n, kind, block in published_events]
 
     # Orders -----------------------------------------------------------------------------
     def order(self, kind: str, target: str, fencing: int) -> bool:
-        """Apply an order (load model, adapter, version, or change role); False if refused."""
+        """Apply an order to load a model, adapter or version, or change role; False if refused."""
         if fencing < self.highest_fencing and self.settings.fencing == "refuse":
             return False
         self.highest_fencing = max(self.highest_fencing, fencing)
--- a/src/guavacleat/standin/engine_http.py
+++ b/src/guavacleat/standin/engine_http.py
@@ -1,12 +1,12 @@
-"""HTTP face of the stand-in engine (JSON bodies).
+"""HTTP interface of the stand-in engine, with JSON bodies.
 
 - ``POST /v1/generate`` ``{"request_id", "prompt", "max_tokens", "priority", "resume"}`` ->
   ``{"stream_id", "generation"}``.
 - ``GET /v1/streams/<id>?cursor=N&wait=S``: tokens from index N, waiting up to S seconds.
-- ``DELETE /v1/streams/<id>``: cancel.
-- ``GET /v1/load``: the lagged load report.
-- ``GET /v1/cache-events?since=N``: late, gappy prefix-cache events.
-- ``POST /v1/orders`` ``{"kind", "target", "fencing"}``: 200, or 409 if refused as stale.
+- ``DELETE /v1/streams/<id>``: cancels the stream.
+- ``GET /v1/load``: the delayed load report.
+- ``GET /v1/cache-events?since=N``: prefix-cache events, delayed and with gaps.
+- ``POST /v1/orders`` ``{"kind", "target", "fencing"}``: 200, or 409 for a stale fencing token.
 """
 
 import json
@@ -53,7 +53,9 @@
         cursor = int(request.args.get(b"cursor", [b"0"])[0])
         wait = min(float(request.args.get(b"wait", [b"1"])[0]), MAX_READ_WAIT)
         reading = self.engine.read(stream_id, cursor, wait)
-        reading.addCallback(lambda sequence: json_response(request, 200, _batch(sequence, cursor)))
+        reading.addCallback(
+            lambda sequence: json_response(request, 200, _token_batch(sequence, cursor))
+        )
         return reading
 
     @app.route("/v1/streams/<stream_id>", methods=["DELETE"])
@@ -81,7 +83,7 @@
         )
 
 
-def _batch(sequence, cursor: int) -> dict:
+def _token_batch(sequence, cursor: int) -> dict:
     return {
         "generation": sequence.generation,
         "first_index": cursor,
--- a/src/guavacleat/standin/instances.py
+++ b/src/guavacleat/standin/instances.py
@@ -1,4 +1,4 @@
-"""Stand-in for the platform's list of live and leaving instances, which lags behind."""
+"""Stand-in for the platform's list of live and leaving instances, with delayed updates."""
 
 from twisted.internet.interfaces import IReactorTime
 
@@ -10,7 +10,7 @@
 
 
 class InstanceList:
-    """States by instance name; readers see them ``lag`` seconds late."""
+    """Instance states by name; changes become visible after ``lag`` seconds."""
 
     def __init__(self, clock: IReactorTime, lag: float = LIST_LAG_SECONDS):
         self.clock = clock
@@ -18,7 +18,7 @@
         self.states_by_name: dict[str, str] = {}
 
     def change(self, name: str, state: str | None) -> None:
-        """Set an instance's state (None: it is gone); readers see it ``lag`` seconds later."""
+        """Set the state of an instance after ``lag`` seconds; None removes it."""
         self.clock.callLater(self.lag, self._apply, name, state)
 
     def _apply(self, name: str, state: str | None) -> None:
--- a/src/guavacleat/standin/listener.py
+++ b/src/guavacleat/standin/listener.py
@@ -1,4 +1,4 @@
-"""A Twisted service that serves one HTTP factory on a TCP port (stand-ins and the demo)."""
+"""A Twisted service that serves an HTTP factory on a TCP port, for the stand-ins and the demo."""
 
 from twisted.application import service
 from twisted.internet import defer
@@ -7,9 +7,9 @@
 
 
 class HttpListener(service.Service):
-    """Listens on ``listen`` = ``(host, port)``; port 0 picks a free one, see :meth:`url`.
+    """Listens on ``listen``, a (host, port) pair; port 0 picks a free port, see :meth:`url`.
 
-    :ivar crashes: how often it crashed.
+    :ivar crashes: number of simulated crashes.
     """
 
     def __init__(self, reactor, factory, listen):
@@ -27,7 +27,7 @@
     def _open(self) -> None:
         host, port = self.listen
         self.port = self.reactor.listenTCP(port, self.factory, interface=host)
-        # A restart listens where callers look for it.
+        # Keeps the port across restarts.
         self.listen = (host, self.port.getHost().port)
 
     def stopService(self):  # noqa: N802 - Twisted's name
@@ -38,7 +38,7 @@
         return self.port.stopListening()
 
     def crash(self, seconds: float) -> None:
-        """Refuse connections and lose those of a ``CallerListener``, for ``seconds``."""
+        """Abort a ``CallerListener``'s connections and refuse new ones for ``seconds``."""
         if self._restart is not None and self._restart.active():
             return
         self.crashes += 1
--- a/src/guavacleat/standin/local_routes.py
+++ b/src/guavacleat/standin/local_routes.py
@@ -17,7 +17,7 @@
 
 
 class LocalRoutes:
-    """Starts a stand-in for each endpoint of the file, on ports of their own."""
+    """Runs the ingress and a stand-in, on its own port, for each endpoint in the routes file."""
 
     def __init__(self, reactor, path):
         self.reactor = reactor
--- a/src/guavacleat/standin/routed.py
+++ b/src/guavacleat/standin/routed.py
@@ -17,21 +17,26 @@
 __all__ = ["CRASH_BODY", "StandinEndpoint", "EndpointFault"]
 
 CRASH_BODY = b"crash"
-# From the beginning of such a request to the crash.
+# Delay from the arrival of such a request to the crash.
 CRASH_SECONDS = 0.05
 
-EVENTS = 5
+EVENT_COUNT = 5
 EVENT_SECONDS = 0.02
-REQUEST_ID = b"x-request-id"
-ENDPOINT = b"x-endpoint"
-NOT_RUN = b"x-not-run"
+REQUEST_ID_HEADER = b"x-request-id"
+ENDPOINT_HEADER = b"x-endpoint"
+NOT_RUN_HEADER = b"x-not-run"
 MISDIRECTED = 421
 UNAVAILABLE = 503
 OK = 200
 
 
 class EndpointFault(enum.Enum):
-    """What the endpoint does wrong."""
+    """Faults to inject; each applies to all requests.
+
+    ``REFUSE`` and ``OTHER_INCARNATION`` refuse the request without running it. ``RESET`` aborts the
+    connection, ``TRUNCATE`` ends the response early, ``EXTRA`` sends a second response, ``FOREIGN``
+    returns another request's ID, ``UNSIGNED`` omits the endpoint header, ``HANG`` never responds.
+    """
 
     NONE = "none"
     REFUSE = "refuse"
@@ -48,7 +53,7 @@
     """One endpoint; ``listener`` is the Twisted factory that serves it.
 
     :ivar on_crash: called when a request crashes the endpoint.
-    :ivar work_seconds: what a plain answer takes.
+    :ivar work_seconds: time that a plain response takes.
     """
 
     def __init__(self, clock: IReactorTime, id: str, fault: EndpointFault = EndpointFault.NONE):
@@ -62,12 +67,12 @@
 
     def _handle(self, exchange: CallerExchange) -> None:
         if self.fault is EndpointFault.REFUSE:
-            exchange.respond(UNAVAILABLE, [(NOT_RUN, b"1")], b"")
+            exchange.respond(UNAVAILABLE, [(NOT_RUN_HEADER, b"1")], b"")
             return
         if self.fault is EndpointFault.OTHER_INCARNATION:
             exchange.respond(MISDIRECTED, [], b"")
             return
-        request_id = dict(exchange.head.headers).get(REQUEST_ID, b"")
+        request_id = dict(exchange.head.headers).get(REQUEST_ID_HEADER, b"")
         self.runs_by_request[request_id.decode("latin-1")] += 1
         if exchange.body == CRASH_BODY:
             self.clock.callLater(CRASH_SECONDS, self.on_crash)
@@ -81,16 +86,18 @@
         if exchange.head.path.startswith("/listing/"):
             self._stream(exchange, headers)
         elif self.work_seconds:
-            self.clock.callLater(self.work_seconds, self._answer, exchange, headers)
+            self.clock.callLater(self.work_seconds, self._respond, exchange, headers)
         else:
-            self._answer(exchange, headers)
+            self._respond(exchange, headers)
 
     def _headers(self, request_id: bytes) -> list[tuple[bytes, bytes]]:
         id = b"of-another" if self.fault is EndpointFault.FOREIGN else request_id
-        signature = [] if self.fault is EndpointFault.UNSIGNED else [(ENDPOINT, self.id.encode())]
-        return [(REQUEST_ID, id), *signature]
+        endpoint_header = (
+            [] if self.fault is EndpointFault.UNSIGNED else [(ENDPOINT_HEADER, self.id.encode())]
+        )
+        return [(REQUEST_ID_HEADER, id), *endpoint_header]
 
-    def _answer(self, exchange: CallerExchange, headers) -> None:
+    def _respond(self, exchange: CallerExchange, headers) -> None:
         if exchange.disconnected:
             return
         body = b"done by %s" % self.id.encode()
@@ -107,16 +114,16 @@
 
     def _stream(self, exchange: CallerExchange, headers) -> None:
         exchange.start_response(OK, b"OK", [*headers, (b"content-type", b"text/event-stream")])
-        sent = iter(range(1, EVENTS + 1))
+        numbers = iter(range(1, EVENT_COUNT + 1))
 
         def next_event():
-            number = next(sent, None)
+            number = next(numbers, None)
             if exchange.disconnected or number is None:
                 events.stop()
                 if not exchange.disconnected:
                     exchange.end()
                 return
-            if self.fault is EndpointFault.TRUNCATE and number == EVENTS:
+            if self.fault is EndpointFault.TRUNCATE and number == EVENT_COUNT:
                 events.stop()
                 exchange.abort()
                 return
--- a/src/guavacleat/standin/sequences.py
+++ b/src/guavacleat/standin/sequences.py
@@ -1,4 +1,4 @@
-"""What a stand-in engine runs: its sizes, its generations, their lengths and tokens."""
+"""Settings and sequences of a stand-in engine, with their output lengths and tokens."""
 
 import hashlib
 import random
@@ -14,11 +14,11 @@
 
 
 class EngineSettings:
-    """Sizes and behaviour of one stand-in engine; times in seconds, memory in tokens.
+    """Sizes and behaviour of one stand-in engine; times in seconds, KV cache in tokens.
 
-    :param output_length: None to draw lengths, a number for every output, or a callable from
-        request id to length (the load tool's workloads).
-    :param prefill_rate: prompt tokens read a second; None: reading takes no time.
+    :param output_length: None for random lengths, a fixed length, or a callable from request ID
+        to length.
+    :param prefill_rate: prompt tokens prefilled per second; None if prefill takes no time.
     """
 
     __slots__ = (
@@ -66,7 +66,7 @@
 
 
 class Sequence:
-    """One generation on this engine; ``tokens`` only ever grows."""
+    """One generation on this engine; ``tokens`` is append-only."""
 
     __slots__ = (
         "stream_id",
@@ -76,14 +76,14 @@
         "prompt_tokens",
         "target_length",
         "tokens",
-        "kv_held",
+        "kv_tokens",
         "preemptions",
         "finished",
         "finish_reason",
         "arrival",
         "waiters",
         "blocks",
-        "to_read",
+        "prefill_remaining",
     )
 
     def __init__(
@@ -104,25 +104,25 @@
         self.prompt_tokens = prompt_tokens
         self.target_length = target_length
         self.tokens: list[str] = []
-        self.kv_held = 0
+        self.kv_tokens = 0
         self.preemptions = 0
         self.finished = False
         self.finish_reason = ""
         self.arrival = arrival
         self.waiters: list[defer.Deferred] = []
         self.blocks = blocks
-        self.to_read = 0
+        self.prefill_remaining = 0
 
     def wait(self, clock: IReactorTime, seconds: float) -> defer.Deferred:
-        """Fire with the sequence when it has changed, or after ``seconds``."""
+        """Fire with the sequence at its next change, or after ``seconds``."""
         waiter = defer.Deferred()
         self.waiters.append(waiter)
         timer = clock.callLater(seconds, self._wake, waiter)
-        waiter.addCallback(_cancel_and_pass, timer)
+        waiter.addCallback(_cancel_timer, timer)
         return waiter
 
     def wake_all(self) -> None:
-        """Tell all who wait that it has changed."""
+        """Notify all waiters of a change."""
         waiters, self.waiters = self.waiters, []
         for waiter in waiters:
             if not waiter.called:
@@ -136,7 +136,7 @@
 
 
 def output_length_of(request_id: str, max_tokens: int, fixed) -> int:
-    """The length a request draws, or ``fixed`` (a number or a callable), up to ``max_tokens``."""
+    """Return ``fixed`` (a number or a callable) or a random length, capped by ``max_tokens``."""
     if fixed is not None:
         return min(max_tokens, fixed(request_id) if callable(fixed) else fixed)
     draw = random.Random(request_id).paretovariate(PARETO_SHAPE)
@@ -144,12 +144,12 @@
 
 
 def token_of(generation: str, index: int) -> str:
-    """The token that a generation has at an index, the same whoever asks."""
+    """Return the token at an index of a generation; deterministic."""
     digest = hashlib.blake2b(f"{generation}:{index}".encode(), digest_size=2).digest()
     return WORDS[digest[0] % len(WORDS)]
 
 
-def _cancel_and_pass(sequence: Sequence, timer):
+def _cancel_timer(sequence: Sequence, timer):
     if timer.active():
         timer.cancel()
     return sequence
--- a/src/guavacleat/standin/services.py
+++ b/src/guavacleat/standin/services.py
@@ -1,8 +1,8 @@
-"""Stand-in plain service: answers calls whole, counts how often each ran, and can lose answers.
+"""Stand-in plain service: counts how often each call ran, and can drop responses.
 
 - ``POST /v1/call`` ``{"request_id", "body"}`` -> ``{"answer"}`` after ``work_seconds``.
 - ``GET /v1/runs`` -> ``{"runs": {body: count}}``.
-- ``POST /v1/faults`` ``{"lose_answers": n}``: the next n calls run and get no answer.
+- ``POST /v1/faults`` ``{"lose_answers": n}``: the next n calls run but get no response.
 """
 
 import json
@@ -18,7 +18,7 @@
 
 
 class ServiceApp:
-    """One plain service's HTTP face and state."""
+    """State and HTTP interface of one plain service."""
 
     app = Klein()
 
--- a/src/guavacleat/standin/system.py
+++ b/src/guavacleat/standin/system.py
@@ -1,7 +1,7 @@
-"""A whole system on loopback in one process: object API, engines, sidecars and a gateway.
+"""A complete system on loopback in one process: object store, engines, sidecars and a gateway.
 
-Each part listens on its own loopback port and talks to the others over TCP exactly as separate
-processes would; only the reactor is shared. Used by ``guavacleat demo`` and the benchmarks.
+The parts listen on separate loopback ports and communicate over TCP as separate processes would,
+but share one reactor. Used by ``guavacleat demo`` and the benchmarks.
 """
 
 from pathlib import Path
@@ -32,7 +32,7 @@
 
 
 class LocalSystem(service.MultiService):
-    """Starts the parts in dependency order; ``endpoints`` maps endpoint name to service name."""
+    """Starts the parts in dependency order; ``endpoints`` maps endpoint names to service names."""
 
     def __init__(self, reactor, settings_path, endpoints: dict[str, str], engine_settings=None):
         super().__init__()
@@ -49,7 +49,7 @@
 
     @defer.inlineCallbacks
     def start(self):
-        """Start everything, apply the settings, and fire once the gateway can route."""
+        """Start all parts, apply the settings, and fire once the gateway can route."""
         self.store.setServiceParent(self)
         self.startService()
         kinds = load_settings(self.settings_path).services_by_name
@@ -58,7 +58,7 @@
         yield apply_settings(StoreClient(self.store.url()), self.settings_path)
         self.gateway = GatewayService(self.reactor, (LOOPBACK, 0), self.store.url())
         self.gateway.setServiceParent(self)
-        yield self._until_routable()
+        yield self._wait_until_routable()
 
     def _start_endpoint(self, name: str, service_name: str, kind: str) -> None:
         if kind == "plain":
@@ -82,7 +82,7 @@
         ).setServiceParent(self)
 
     @defer.inlineCallbacks
-    def _until_routable(self):
+    def _wait_until_routable(self):
         services = set(self.endpoints.values())
         waited = 0.0
         while waited < READY_TIMEOUT:
@@ -92,7 +92,7 @@
                 return
             yield task.deferLater(self.reactor, READY_POLL, lambda: None)
             waited += READY_POLL
-        raise TimeoutError("the gateway did not see configuration and endpoints in time")
+        raise TimeoutError("timed out waiting for the gateway's configuration and endpoints")
 
     def completions_url(self) -> str:
         return f"http://{self.gateway.address()}/v1/completions"
--- a/tests/load/test_clock.py
+++ b/tests/load/test_clock.py
@@ -1,4 +1,4 @@
-"""The virtual clock of load runs against Twisted's own."""
+"""Compares the virtual clock of load runs with Twisted's clock."""
 
 import pytest
 from hypothesis import given
@@ -15,32 +15,32 @@
 
 
 def play(clock, steps):
-    """What runs when, for steps ``(what, which call, seconds)``."""
+    """Apply steps of (action, call index, seconds); return the times and numbers of run calls."""
     ran, calls = [], []
-    for what, which, seconds in steps:
-        if what == "call":
+    for action, index, seconds in steps:
+        if action == "call":
             number = len(calls)
             calls.append(
                 clock.callLater(
                     seconds, lambda number=number: ran.append((clock.seconds(), number))
                 )
             )
-        elif what == "advance":
+        elif action == "advance":
             clock.advance(seconds)
-        elif calls and calls[which % len(calls)].active():
-            call = calls[which % len(calls)]
-            call.cancel() if what == "cancel" else call.reset(seconds)
+        elif calls and calls[index % len(calls)].active():
+            call = calls[index % len(calls)]
+            call.cancel() if action == "cancel" else call.reset(seconds)
     clock.advance(100)
-    # Calls put off to one moment have no order of their own.
+    # The order of calls rescheduled to the same time is undefined.
     return sorted(ran)
 
 
 @given(STEPS)
-def test_the_same_calls_run_at_the_same_times(steps):
+def test_calls_run_at_same_times_as_on_twisted_clock(steps):
     assert play(HeapClock(), steps) == play(Clock(), steps)
 
 
-def test_calls_of_one_moment_run_in_the_order_in_which_they_were_made():
+def test_simultaneous_calls_run_in_insertion_order():
     clock, ran = HeapClock(), []
     for number in range(5):
         clock.callLater(1.0, ran.append, number)
@@ -49,7 +49,7 @@
 
 
 @pytest.mark.parametrize("seconds", [0.5, 3.0])
-def test_a_call_that_is_moved_is_due_at_its_new_time(seconds):
+def test_rescheduled_call_is_due_at_new_time(seconds):
     clock = HeapClock()
     clock.callLater(1.0, lambda: None).reset(seconds)
     assert clock.next_time() == seconds
--- a/tests/load/test_run_history.py
+++ b/tests/load/test_run_history.py
@@ -1,4 +1,4 @@
-"""History checking of concurrent runs: the fleet under randomized faults with fixed seeds."""
+"""Checks the history of concurrent fleet runs under randomized faults with fixed seeds."""
 
 import random
 
@@ -6,15 +6,15 @@
 
 from guavacleat.checks.runs import check_run
 from guavacleat.load.experiment import POLICIES_BY_NAME, EngineSizes, run_policy
-from guavacleat.load.workloads import Kind, Workload, arrivals
+from guavacleat.load.workloads import RequestKind, Workload, arrivals
 
 SECONDS = 12.0
 SIZES = EngineSizes(memory=2_000, slots=8, cache_blocks=64)
 WORKLOAD = Workload(
     kinds=(
-        Kind("summary", "lm", "standard", 5, 6.0, 64, 5, 100, 60, 0.8, 300),
-        Kind("tag", "lm", "interactive", 0, 8.0, 32, 3, 60, 6, 0.4, 20),
-        Kind("record", "lm", "interactive", 0, 4.0, 32, 3, 20, 4, 0.4, 10, repeatable=False),
+        RequestKind("summary", "lm", "standard", 5, 6.0, 64, 5, 100, 60, 0.8, 300),
+        RequestKind("tag", "lm", "interactive", 0, 8.0, 32, 3, 60, 6, 0.4, 20),
+        RequestKind("record", "lm", "interactive", 0, 4.0, 32, 3, 20, 4, 0.4, 10, repeatable=False),
     ),
     weights_by_account={"a": 3, "b": 1},
     demand_by_account={"a": 1, "b": 2},
@@ -24,7 +24,7 @@
 
 
 def random_faults(seed):
-    """Two deaths, three stalls and a drain at random times, at random endpoints."""
+    """Schedule two terminations, three stalls and a drain at random times and endpoints."""
     rng = random.Random(seed)
 
     def schedule(fleet):
@@ -41,7 +41,7 @@
 
 
 @pytest.mark.parametrize("seed", range(6))
-def test_promises_hold_under_random_faults(seed):
+def test_invariants_hold_under_random_faults(seed):
     requests = arrivals(WORKLOAD, SECONDS, seed)
     run = run_policy(
         POLICIES_BY_NAME["guavacleat"],
@@ -59,8 +59,8 @@
 
 
 @pytest.mark.parametrize("policy", sorted(POLICIES_BY_NAME))
-def test_same_seed_plays_the_same_run(policy):
-    """A run depends on its seed alone, so that a figure can be had again."""
+def test_runs_with_same_seed_are_identical(policy):
+    """Guards against nondeterminism that makes results irreproducible."""
     requests = arrivals(WORKLOAD, 4.0, seed=3)
     runs = [
         run_policy(POLICIES_BY_NAME[policy], WORKLOAD, requests, 4.0, sizes=SIZES) for _ in range(2)
--- a/tests/standin/test_engine.py
+++ b/tests/standin/test_engine.py
@@ -1,4 +1,4 @@
-"""The stand-in engine: batching, priorities, preemption, lagged load, gappy events, fencing."""
+"""Stand-in engine: batching, priorities, preemption, delayed load reports, event gaps, fencing."""
 
 import pytest
 
@@ -14,7 +14,7 @@
     raise AssertionError("engine did not finish")
 
 
-def test_tokens_grow_once_in_order_to_unknown_length(clock):
+def test_sequences_finish_with_varying_output_lengths(clock):
     engine = Engine(clock, EngineSettings(max_batch=4))
     sequences = [engine.submit(f"r{i}", "hello there", 200, 5) for i in range(6)]
     run_until_done(clock, engine)
@@ -31,12 +31,8 @@
     assert engine.running == [urgent] and slow in engine.waiting
 
 
-def test_memory_filling_mid_decode_preempts_and_resumes_same_generation(clock):
-    """
-    Symptom: a long summary stalls and its tokens could repeat after a restart.
-    Sequence: two sequences fill memory while decoding; the engine preempts one; it resumes.
-    Cause: memory grows per token; the preempted one must keep its tokens and generation.
-    """
+def test_preempted_sequence_resumes_same_generation(clock):
+    """Guards against lost or repeated tokens after a preemption during decoding."""
     engine = Engine(clock, EngineSettings(max_batch=4, kv_capacity=60))
     first = engine.submit("long-a", "p", 40, 0)
     second = engine.submit("long-b", "p", 40, 5)
@@ -55,7 +51,7 @@
     assert engine.load()["running"] == 1
 
 
-def test_cache_events_are_late_and_have_gaps(clock):
+def test_cache_events_are_delayed_and_have_gaps(clock):
     engine = Engine(clock, EngineSettings(event_lag=0.2, event_gap_every=3))
     engine.submit("r", " ".join(["w"] * 16 * 6), 1, 0)
     assert engine.cache_events(0) == []
@@ -68,7 +64,7 @@
     "mode,stale_accepted",
     [("refuse", False), ("ignore", True)],
 )
-def test_stale_fencing_number_per_mode(clock, mode, stale_accepted):
+def test_stale_fencing_token_per_mode(clock, mode, stale_accepted):
     engine = Engine(clock, EngineSettings(fencing=mode))
     assert engine.order("model", "v2", fencing=5)
     assert engine.order("model", "v1", fencing=3) is stale_accepted
