--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Shared fixtures: a paused clock, a stand-in store and an in-memory HTTP client for it."""
+"""Shared fixtures and helpers: a virtual clock, a stand-in store and an in-memory HTTP client."""
 
 import itertools
 from pathlib import Path
@@ -13,8 +13,8 @@
 from guavacleat.store import StoreClient
 from guavacleat.streams import CompletionRequest
 
-# Hypothesis draws the same cases in each run, so that the same code gets the same verdict. `make
-# fuzz` draws new ones, and more of them; a case that fails there becomes an example.
+# Hypothesis draws the same cases in each run. `make fuzz` draws new and more cases; those that fail
+# there are added as explicit examples.
 EXAMPLES = 100
 settings.register_profile(
     "repeat", max_examples=EXAMPLES, derandomize=True, database=None, deadline=None
@@ -23,7 +23,7 @@
 settings.load_profile("repeat")
 
 REQUEST_NUMBERS = itertools.count(1)
-# One line each: a test's node id, then cause, command and seed, issue.
+# One line per test: node ID, then cause, command and seed, issue.
 KNOWN_RED = Path(__file__).parent.parent / "KNOWN-RED.txt"
 
 
@@ -39,7 +39,7 @@
 
 
 def pytest_collection_modifyitems(config, items):
-    """Pass over the tests that KNOWN-RED.txt names, and no others."""
+    """Deselect exactly the tests listed in KNOWN-RED.txt."""
     named = {line.split()[0] for line in known_red_lines()}
     passed_over = [item for item in items if item.nodeid in named]
     if passed_over:
@@ -48,7 +48,7 @@
 
 
 def examples(number: int) -> int:
-    """Cases for a test that draws another number by default: more where the profile draws more."""
+    """Scale a test's number of cases to the active Hypothesis profile."""
     return number * settings.default.max_examples // EXAMPLES
 
 
@@ -73,7 +73,7 @@
 
 
 def result_of(deferred, flush=None):
-    """Return a Deferred's result, or raise its failure; ``flush`` is called first if given."""
+    """Return a Deferred's result or raise its failure, after calling ``flush`` if given."""
     if flush is not None:
         flush()
     outcome = []
@@ -87,7 +87,7 @@
 def make_request(
     account="a", weight=1.0, priority=5, prompt="w", max_tokens=100, service="svc", **changes
 ):
-    """A request of ``account``, with an id of its own."""
+    """Return a completion request with a unique ID."""
     return CompletionRequest(
         f"r{next(REQUEST_NUMBERS)}",
         service,
@@ -104,5 +104,5 @@
 
 
 def endpoint_record(name, service="svc", **changes):
-    """An endpoint's record as a gateway hears it."""
+    """Return an endpoint record in the JSON form that gateways receive."""
     return {**EndpointRecord(name, service, "dc", name).to_json(), **changes}
--- a/tests/network.py
+++ b/tests/network.py
@@ -1,4 +1,4 @@
-"""Instances on one paused clock, whose connections and datagrams are delivered in memory."""
+"""A simulated network: instances on one virtual clock, connected in memory."""
 
 from twisted.internet.address import IPv4Address
 from twisted.internet.error import ConnectionAborted, ConnectionDone, ConnectionRefusedError
@@ -8,14 +8,14 @@
 
 __all__ = ["Network"]
 
-# One way between two instances.
+# One-way latency between two instances.
 DELAY_SECONDS = 0.001
 STEP_SECONDS = 0.005
 FIRST_FREE_PORT = 20000
 
 
 class _Listening:
-    """A port that accepts connections until it is closed."""
+    """A listening TCP port."""
 
     def __init__(self, network, address, factory):
         self.network, self.address, self.factory = network, address, factory
@@ -29,13 +29,13 @@
 
 
 class _DatagramPort:
-    """A port that datagrams arrive at; also the protocol's transport."""
+    """A UDP port, which is also its protocol's transport."""
 
     def __init__(self, network, address, protocol):
         self.network, self.address, self.protocol = network, address, protocol
 
     def write(self, data, address):
-        self.network.carry(self, data, tuple(address))
+        self.network.deliver(self, data, tuple(address))
 
     def stopListening(self):  # noqa: N802 - Twisted's name
         self.network.datagram_ports.pop(self.address, None)
@@ -78,7 +78,7 @@
             self.protocol.connectionLost(Failure(error))
 
     def registerProducer(self, producer, streaming):  # noqa: N802 - Twisted's name
-        """Nothing is ever held back."""
+        """Does nothing: the simulated network has no flow control."""
 
     def unregisterProducer(self):  # noqa: N802 - Twisted's name
         """See registerProducer."""
@@ -91,7 +91,7 @@
 
 
 class Network(Clock):
-    """The reactor of every instance.
+    """The reactor shared by all instances.
 
     :ivar blocked_links: (source, destination) pairs of IPs whose datagrams are dropped.
     """
@@ -128,15 +128,15 @@
         if listening is None:
             factory.clientConnectionFailed(None, Failure(ConnectionRefusedError()))
             return
-        near, far = _Transport(self), _Transport(self)
-        near.other, far.other = far, near
-        near.protocol = factory.buildProtocol(IPv4Address("TCP", *address))
-        far.protocol = listening.factory.buildProtocol(None)
-        near.protocol.makeConnection(near)
-        far.protocol.makeConnection(far)
-
-    def carry(self, sender, data, address):
-        """Bring a datagram to its address, unless the way is cut."""
+        client, server = _Transport(self), _Transport(self)
+        client.other, server.other = server, client
+        client.protocol = factory.buildProtocol(IPv4Address("TCP", *address))
+        server.protocol = listening.factory.buildProtocol(None)
+        client.protocol.makeConnection(client)
+        server.protocol.makeConnection(server)
+
+    def deliver(self, sender, data, address):
+        """Deliver a datagram after the link delay, unless its link is blocked."""
         self.datagram_bytes += len(data)
         if (sender.address[0], address[0]) not in self.blocked_links:
             self.callLater(DELAY_SECONDS, self._arrive, data, sender.address, address)
