--- a/benchmarks/config_check.py
+++ b/benchmarks/config_check.py
@@ -1,7 +1,7 @@
-"""CPU to check a configuration of many client accounts, as daemons do on every offer.
+"""CPU time to check a configuration with many client accounts.
 
-Compares the daemons' check of stored plain JSON (``check_raw``) with parsing the same text by
-json5 as ``ctl apply`` does once per file.
+Compares the daemons' check of stored plain JSON (``check_raw``) with parsing and checking the same
+text as JSON5, as ``ctl apply`` does.
 
 Usage: python benchmarks/config_check.py
 """
--- a/benchmarks/control_cost.py
+++ b/benchmarks/control_cost.py
@@ -1,9 +1,9 @@
-"""Slopes of control state, work and traffic in one daemon, for docs/CAPACITY.md.
+"""Cost of control state, work and traffic in one daemon, by size; see docs/CAPACITY.md.
 
 Measures, in this process with tracemalloc and process CPU time:
 - memory per endpoint record in a gateway's membership view, and CPU per observed renewal;
-- CPU per routing decision as endpoints grow, and per dispatch as waiting accounts grow;
-- CPU of a sidecar's occupancy report and admission check as its streams grow;
+- CPU per routing decision by number of endpoints, and per dispatch by number of waiting accounts;
+- CPU of a sidecar's occupancy report and admission check by number of streams;
 - memory per (measure, account, class) latency histogram;
 - bytes of one lease renewal body and of one digest poll.
 
@@ -29,15 +29,15 @@
 from guavacleat.streams import CompletionRequest
 
 SIZES = (100, 1000, 4000, 12000)
-ACCOUNTS = (10, 100, 1000, 4000)
-STREAMS = (8, 24, 96)
+ACCOUNT_COUNTS = (10, 100, 1000, 4000)
+STREAM_COUNTS = (8, 24, 96)
 SERVICES = 10
 HISTOGRAM_KEYS = 300
 CALLS = 200
-EVENTS = MAX_DIGEST_EVENTS
+DIGEST_EVENTS = MAX_DIGEST_EVENTS
 LIMITS = Limits(queue_per_account=10, in_flight_per_endpoint=64, retry_after=1.0, max_wait=1e9)
-ROOMY = Occupancy(4, 24, 10_000, 12_000, 34_000, 100, 500)
-FULL = Occupancy(24, 24, 34_000, 34_000, 34_000, 100, 500)
+LOW_OCCUPANCY = Occupancy(4, 24, 10_000, 12_000, 34_000, 100, 500)
+FULL_OCCUPANCY = Occupancy(24, 24, 34_000, 34_000, 34_000, 100, 500)
 
 
 def record(n: int) -> dict:
@@ -50,7 +50,7 @@
     return CompletionRequest(f"r{n}", "service-3", account, "c", 5, prompt, 500, None, 0.0)
 
 
-def memory_of(build) -> int:
+def measure_memory(build) -> int:
     tracemalloc.start()
     before = tracemalloc.take_snapshot()
     kept = build()
@@ -60,14 +60,14 @@
     return sum(stat.size_diff for stat in after.compare_to(before, "filename"))
 
 
-def cpu_of(work, repeat: int) -> float:
+def measure_cpu(work, repeat: int) -> float:
     start = time.process_time()
     for _ in range(repeat):
         work()
     return (time.process_time() - start) / repeat
 
 
-def view_of(size: int) -> MembershipView:
+def build_view(size: int) -> MembershipView:
     view = MembershipView(Clock(), owner="gateway")
     for n in range(size):
         view.observe(record(n))
@@ -76,16 +76,16 @@
 
 def routing_rows():
     for size in SIZES:
-        per_record = memory_of(lambda size=size: view_of(size)) / size
-        view = view_of(size)
+        per_record = measure_memory(lambda size=size: build_view(size)) / size
+        view = build_view(size)
         renewal = record(7)
-        observe = cpu_of(lambda view=view, renewal=renewal: view.observe(renewal), 2000)
+        observe = measure_cpu(lambda view=view, renewal=renewal: view.observe(renewal), 2000)
         router = get_router_by_name("cache-load", view.clock)
         for name in view.records_by_name:
-            router.observe(name, ROOMY)
+            router.observe(name, LOW_OCCUPANCY)
         call = request(0)
         call.blocks()
-        route = cpu_of(
+        route = measure_cpu(
             lambda view=view, router=router, call=call: router.choose(
                 view.live("service-3"), call, 64
             ),
@@ -95,20 +95,20 @@
 
 
 def dispatch_rows():
-    """CPU to queue a request and to dispatch one, with ``accounts`` having some waiting."""
-    for accounts in ACCOUNTS:
-        view = view_of(100)
+    """Yield CPU times to queue and to dispatch a request, by number of waiting accounts."""
+    for accounts in ACCOUNT_COUNTS:
+        view = build_view(100)
         router = get_router_by_name("cache-load", view.clock)
         dispatcher = Dispatcher(view.clock, view, router)
         for name in view.records_by_name:
-            router.observe(name, FULL)
+            router.observe(name, FULL_OCCUPANCY)
         waiting = [request(n, f"account-{n % accounts}") for n in range(2 * accounts)]
         start = time.process_time()
         for call in waiting:
             dispatcher.acquire(call, LIMITS)
         queued = (time.process_time() - start) / len(waiting)
         for name in view.records_by_name:
-            router.observe(name, ROOMY)
+            router.observe(name, LOW_OCCUPANCY)
         start = time.process_time()
         dispatcher.dispatch_waiting("service-3")
         dispatched = 2 * accounts - len(dispatcher.queues_by_service["service-3"])
@@ -116,27 +116,29 @@
 
 
 def occupancy_rows():
-    for streams in STREAMS:
+    for streams in STREAM_COUNTS:
         occupancy = EngineOccupancy()
         occupancy.set_limits(1_000_000, 2 * streams)
         for n in range(streams):
             occupancy.add(str(n), RunningStream(("s", 5), 1000 + n, 2000, n))
-        more = RunningStream(("s", 5), 1000, 2000)
+        candidate = RunningStream(("s", 5), 1000, 2000)
         emitted = iter(range(100, 10_000_000))
 
         def report(occupancy=occupancy, emitted=emitted):
             occupancy.record_emitted("0", next(emitted))
             occupancy.report()
 
-        fits = cpu_of(lambda occupancy=occupancy, more=more: occupancy.fits(more), CALLS)
-        yield streams, cpu_of(report, CALLS), fits
+        fits = measure_cpu(
+            lambda occupancy=occupancy, candidate=candidate: occupancy.fits(candidate), CALLS
+        )
+        yield streams, measure_cpu(report, CALLS), fits
 
 
 def digest_bytes() -> int:
-    """Size of a digest answer carrying ``EVENTS`` cache events."""
-    events = [CacheEvent(n, True, "0123456789abcdef") for n in range(EVENTS)]
+    """Return the encoded size of a digest with ``EVENTS`` cache events."""
+    events = [CacheEvent(n, True, "0123456789abcdef") for n in range(DIGEST_EVENTS)]
     buffer = TTransport.TMemoryBuffer()
-    Digest(ROOMY, events).write(TBinaryProtocol.TBinaryProtocol(buffer))
+    Digest(LOW_OCCUPANCY, events).write(TBinaryProtocol.TBinaryProtocol(buffer))
     return len(buffer.getvalue())
 
 
@@ -150,17 +152,17 @@
     print("streams  report us  fits us")
     for streams, report, fits in occupancy_rows():
         print(f"{streams:7}  {report * 1e6:9.1f}  {fits * 1e6:7.1f}")
-    book = LatencyHistograms()
+    latencies = LatencyHistograms()
 
-    def fill_book():
+    def fill_latencies():
         for n in range(HISTOGRAM_KEYS):
-            book.record("gap", f"account-{n}", "standard", 0.02)
-        return book
+            latencies.record("gap", f"account-{n}", "standard", 0.02)
+        return latencies
 
-    per_key = memory_of(fill_book) / HISTOGRAM_KEYS
+    per_key = measure_memory(fill_latencies) / HISTOGRAM_KEYS
     print(f"latency histogram: {per_key:.0f} bytes per (measure, account, class) key")
     print(f"lease renewal body: {len(json.dumps({'value': record(1), 'expected_version': 9}))} B")
-    print(f"digest with {EVENTS} cache events: {digest_bytes()} B")
+    print(f"digest with {DIGEST_EVENTS} cache events: {digest_bytes()} B")
 
 
 if __name__ == "__main__":
--- a/benchmarks/control_traffic.py
+++ b/benchmarks/control_traffic.py
@@ -1,9 +1,9 @@
-"""CPU, memory and control traffic of one gateway process as endpoints grow, without requests.
+"""CPU, memory and control traffic of an idle gateway process, by number of endpoints.
 
-Starts the store stand-in in this process and a gateway as a process of its own; this process
-renews N endpoint records each second, as N sidecars would (their thrift ports are closed, so
-digest polls cost a refused connection). Prints, per N, the gateway's CPU share and memory from
-/proc and its store traffic from /status, over SECONDS.
+Starts the store stand-in in this process and a gateway in a separate one; this process renews N
+endpoint records per second, as N sidecars would. The records' thrift ports are closed, so each
+digest poll costs a refused connection. Prints, per N, the gateway's CPU share and memory from /proc
+and its store traffic from /status, over SECONDS.
 
 Usage: python benchmarks/control_traffic.py [N ...]
 """
--- a/benchmarks/http_library.py
+++ b/benchmarks/http_library.py
@@ -1,9 +1,9 @@
-"""CPU per request of the HTTP libraries that could frame callers' requests, in memory.
+"""CPU time per request of HTTP libraries, in memory.
 
-usage: python benchmarks/http_library.py [requests]
+Usage: python benchmarks/http_library.py [requests]
 
-Each library reads the same request and writes the same answer, without sockets. The last lines
-give the whole ingress path in memory: a request, and an event of a stream, through both sides.
+Each library reads the same request and writes the same response, without sockets. The last cases
+measure the ingress: a complete request, and one event forwarded from endpoint to caller.
 """
 
 import resource
@@ -31,7 +31,7 @@
 EVENT = b"id: 7\ndata: " + b"z" * 300 + b"\n\n"
 
 
-class Page(Resource):
+class BodyResource(Resource):
     isLeaf = True  # noqa: N815 - Twisted's name
 
     def render_POST(self, request):  # noqa: N802 - Twisted's name
@@ -51,7 +51,7 @@
     app = Klein()
 
     @app.route("/lohu930/<rest>", methods=["POST"])
-    def page(request, rest):
+    def respond(request, rest):
         del rest
         request.content.read()
         return BODY
@@ -60,7 +60,7 @@
 
 
 def with_h11():
-    def one():
+    def handle_request():
         parser = h11.Connection(h11.SERVER)
         parser.receive_data(REQUEST)
         while not isinstance(parser.next_event(), h11.EndOfMessage):
@@ -70,20 +70,20 @@
         parser.send(h11.Data(data=BODY))
         parser.send(h11.EndOfMessage())
 
-    return one
+    return handle_request
 
 
 def with_httptools():
-    class Heard:
+    class ParserCallbacks:
         def on_header(self, name, value): ...
 
         def on_body(self, body): ...
 
-    def one():
-        httptools.HttpRequestParser(Heard()).feed_data(REQUEST)
+    def handle_request():
+        httptools.HttpRequestParser(ParserCallbacks()).feed_data(REQUEST)
         b"HTTP/1.1 200 OK\r\ncontent-length: %d\r\n\r\n%s" % (len(BODY), BODY)
 
-    return one
+    return handle_request
 
 
 def with_ingress_server():
@@ -95,16 +95,16 @@
     transport = StringTransport()
     connection.makeConnection(transport)
 
-    def one():
+    def handle_request():
         connection.dataReceived(REQUEST)
         clock.advance(0)
         transport.clear()
 
-    return one
+    return handle_request
 
 
 def with_stream_events():
-    """One event from an endpoint's chunk to the caller's chunk."""
+    """Forwards one event from an endpoint's chunk to the caller's chunk."""
     exchanges = []
     listener = CallerListener(Clock(), exchanges.append, lambda: CallerLimits())
     caller = listener.buildProtocol(None)
@@ -112,7 +112,7 @@
     caller.dataReceived(REQUEST)
     exchange = exchanges[0]
 
-    class Relay(ResponseListener):
+    class Forwarder(ResponseListener):
         def response_started(self, head):
             exchange.start_response(200, b"OK", [])
 
@@ -121,19 +121,19 @@
 
     endpoint = EndpointConnection(lambda connection: None, lambda connection: None)
     endpoint.makeConnection(StringTransport())
-    endpoint.send(b"GET", b"/x", [(b"host", b"e")], b"", Relay())
+    endpoint.send(b"GET", b"/x", [(b"host", b"e")], b"", Forwarder())
     endpoint.dataReceived(b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n")
     chunk = b"%x\r\n%s\r\n" % (len(EVENT), EVENT)
 
-    def one():
+    def forward_event():
         endpoint.dataReceived(chunk)
         caller.transport.clear()
 
-    return one
+    return forward_event
 
 
 CASES_BY_NAME = {
-    "twisted.web": lambda: with_site(Page()),
+    "twisted.web": lambda: with_site(BodyResource()),
     "klein": with_klein,
     "h11": with_h11,
     "httptools": with_httptools,
@@ -144,11 +144,11 @@
 
 def main():
     count = int(sys.argv[1]) if len(sys.argv) > 1 else 20000
-    for name, make in CASES_BY_NAME.items():
-        one = make()
+    for name, make_case in CASES_BY_NAME.items():
+        run_case = make_case()
         began = time.process_time()
         for _ in range(count):
-            one()
+            run_case()
         print(f"{name:24} {(time.process_time() - began) / count * 1e6:8.1f} us of CPU each")
     print(f"peak memory {resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1024:.1f} MB")
 
--- a/benchmarks/path_overhead.py
+++ b/benchmarks/path_overhead.py
@@ -1,9 +1,9 @@
-"""Per-token cost of the gateway path against a direct call to the stand-in engine.
+"""Cost per token of the gateway path compared with direct calls to the stand-in engine.
 
-Runs one in-process system on loopback (object API, one engine, one sidecar, one gateway) with
-an engine that steps as fast as the reactor allows, then streams the same requests (a) directly
-from the engine's HTTP interface by cursor and (b) through gateway and sidecar. Prints wall and
-CPU microseconds per token for each, and their differences.
+Runs a system on loopback in one process (object store, one engine, one sidecar, one gateway) with
+an engine that steps as fast as the reactor allows. Streams the same requests (a) directly from the
+engine's HTTP interface and (b) through gateway and sidecar. Prints wall and CPU microseconds per
+token for each, and their differences.
 
 Usage: python benchmarks/path_overhead.py [REQUESTS] [CONCURRENCY] [STEP_MICROSECONDS]
 """
@@ -19,23 +19,23 @@
 
 ENGINE_STEP_US = 100
 MAX_TOKENS = 400
-LENGTH = 200
-PULL_WAIT = 1.0
+OUTPUT_LENGTH = 200
+READ_WAIT_SECONDS = 1.0
 
 
 @defer.inlineCallbacks
-def direct(engine: EngineClient, n: int) -> int:
+def stream_direct(engine: EngineClient, n: int) -> int:
     stream_id, _ = yield engine.generate(f"direct-{n}", f"listing {n}", MAX_TOKENS, 0)
     cursor, finished = 0, False
     while not finished:
-        batch = yield engine.read(stream_id, cursor, PULL_WAIT)
+        batch = yield engine.read(stream_id, cursor, READ_WAIT_SECONDS)
         cursor += len(batch.tokens)
         finished = batch.finished
     return cursor
 
 
 @defer.inlineCallbacks
-def via_gateway(reactor, url: str, n: int) -> int:
+def stream_via_gateway(reactor, url: str, n: int) -> int:
     body = {
         "service": "enquiry-lm",
         "account": "carrier-04",
@@ -68,19 +68,26 @@
         reactor,
         EXAMPLES / "nile.json5",
         {"enquiry-lm-1": "enquiry-lm", "switchboard-1": "switchboard"},
-        engine_settings={"step_seconds": step_us / 1e6, "max_batch": 64, "output_length": LENGTH},
+        engine_settings={
+            "step_seconds": step_us / 1e6,
+            "max_batch": 64,
+            "output_length": OUTPUT_LENGTH,
+        },
     )
     yield system.start()
     sidecar = next(part for part in system if getattr(part, "name", None) == "enquiry-lm-1")
     engine = EngineClient(sidecar.handler.engine.base_url)
-    d_wall, d_cpu = yield measure("direct", lambda n: direct(engine, n), requests, concurrency)
+    direct_wall, direct_cpu = yield measure(
+        "direct", lambda n: stream_direct(engine, n), requests, concurrency
+    )
     url = system.completions_url()
-    g_wall, g_cpu = yield measure(
-        "gateway", lambda n: via_gateway(reactor, url, n), requests, concurrency
+    gateway_wall, gateway_cpu = yield measure(
+        "gateway", lambda n: stream_via_gateway(reactor, url, n), requests, concurrency
     )
     print(
-        f"overhead wall {(g_wall - d_wall) * 1e6:7.1f} us/token"
-        f"  cpu {(g_cpu - d_cpu) * 1e6:7.1f} us/token  (ratio cpu {g_cpu / d_cpu:.2f})"
+        f"overhead wall {(gateway_wall - direct_wall) * 1e6:7.1f} us/token"
+        f"  cpu {(gateway_cpu - direct_cpu) * 1e6:7.1f} us/token"
+        f"  (ratio cpu {gateway_cpu / direct_cpu:.2f})"
     )
     yield system.stopService()
 
--- a/benchmarks/restore_cost.py
+++ b/benchmarks/restore_cost.py
@@ -1,9 +1,9 @@
-"""What a store that comes back from a copy costs: time and calls, by the number of gateways.
+"""Time to converge and extra store calls after a store restore, by number of gateways.
 
-Plays gateways of six data centres on a paused clock before a stand-in store that is restored from a
-copy four seconds old, several times. Prints, per size, how long gateways take until they know an
-endpoint that came after the restore, and the calls of the store in the five seconds after it beyond
-those of five calm seconds.
+Simulates gateways in six data centres on a virtual clock, with a stand-in store that is repeatedly
+restored from a backup four seconds old. Prints, per size, the time until gateways know an endpoint
+added after the restore, and the store calls in the five seconds after it beyond those of five
+seconds without a restore.
 
 Usage: python benchmarks/restore_cost.py [GATEWAYS ...]
 """
@@ -20,15 +20,15 @@
 MEASURED_SECONDS = 5.0
 
 
-def calls(fleet, seconds):
+def count_calls(fleet, seconds):
     before = fleet.store.call_count
     fleet.pass_time(seconds)
     return fleet.store.call_count - before
 
 
 def restore_once(fleet, number):
-    """Return seconds until each gateway knew the endpoint that came, sorted, and extra calls."""
-    calm = calls(fleet, MEASURED_SECONDS)
+    """Return the sorted times until gateways saw the new endpoint, and the extra calls."""
+    baseline_calls = count_calls(fleet, MEASURED_SECONDS)
     fleet.store.copy()
     fleet.pass_time(LOST_SECONDS)
     before = fleet.store.call_count
@@ -41,26 +41,26 @@
         for name, gateway in fleet.gateways.items():
             if id in gateway.ready_ids():
                 seen_by_gateway.setdefault(name, (step + 1) * STEP_SECONDS)
-    assert len(seen_by_gateway) == len(fleet.gateways), "a gateway never heard of it"
-    return sorted(seen_by_gateway.values()), fleet.store.call_count - before - calm
+    assert len(seen_by_gateway) == len(fleet.gateways), "a gateway did not see the new endpoint"
+    return sorted(seen_by_gateway.values()), fleet.store.call_count - before - baseline_calls
 
 
 def main():
     sizes = [int(size) for size in sys.argv[1:]] or SIZES
-    print("gateways  seconds until known: 50th, 99th of 100, most   extra calls a gateway")
+    print("gateways  seconds until known: p50, p99, max   extra calls per gateway")
     for size in sizes:
         fleet = RestoredFleet(DATA_CENTRES, size // DATA_CENTRES)
         fleet.pass_time(5.0)
-        seen, extra = [], 0
+        seen, extra_calls = [], 0
         for number in range(RESTORES):
-            times, more = restore_once(fleet, number)
+            times, more_calls = restore_once(fleet, number)
             seen += times
-            extra += more
+            extra_calls += more_calls
         seen.sort()
-        found = len(seen)
+        count = len(seen)
         print(
-            f"{len(fleet.gateways):8}  {seen[found // 2]:.2f} {seen[found * 99 // 100]:.2f}"
-            f" {seen[-1]:.2f}   {extra / RESTORES / len(fleet.gateways):.1f}"
+            f"{len(fleet.gateways):8}  {seen[count // 2]:.2f} {seen[count * 99 // 100]:.2f}"
+            f" {seen[-1]:.2f}   {extra_calls / RESTORES / len(fleet.gateways):.1f}"
         )
 
 
--- a/benchmarks/visibility.py
+++ b/benchmarks/visibility.py
@@ -1,10 +1,11 @@
-"""How soon a gateway sees changes, as separate processes on loopback.
+"""Time until a gateway observes changes, with separate processes on loopback.
 
-Starts store, one engine, two sidecars and a gateway. Times (a) from `ctl apply` of a new
-version returning until the gateway's /status shows it in force; (b) from SIGTERM to a sidecar
-until the gateway shows the endpoint as draining, polling every 5 ms.
-Then sends SIGKILL to a second sidecar and times until the gateway lists no live endpoint of
-the service (the dead one's lease lapses). Prints the median of both over the rounds.
+Starts a store, an engine, two sidecars and a gateway, and measures, polling every 5 ms:
+(a) from the return of `ctl apply` until the gateway's /status shows the new version;
+(b) from SIGTERM to a sidecar until the gateway shows its endpoint as draining;
+(c) from SIGKILL to the other sidecar until its lease has expired and the gateway lists no live
+endpoint of the service.
+Prints the median of each over the rounds.
 
 Usage: python benchmarks/visibility.py [ROUNDS]
 """
@@ -21,8 +22,8 @@
 import guavacleat
 
 NILE = Path(guavacleat.__file__).parent / "examples" / "nile.json5"
-POLL = 0.005
-LIMIT = 30.0
+POLL_SECONDS = 0.005
+TIMEOUT_SECONDS = 30.0
 
 
 def start(*args):
@@ -36,61 +37,61 @@
 
 
 def endpoints(gateway_url):
-    with urllib.request.urlopen(f"{gateway_url}/status", timeout=5) as answer:
-        return json.loads(answer.read())["endpoints"]
+    with urllib.request.urlopen(f"{gateway_url}/status", timeout=5) as response:
+        return json.loads(response.read())["endpoints"]
 
 
-def until(predicate):
+def time_until(predicate):
     began = time.monotonic()
-    while time.monotonic() - began < LIMIT:
+    while time.monotonic() - began < TIMEOUT_SECONDS:
         if predicate():
             return time.monotonic() - began
-        time.sleep(POLL)
+        time.sleep(POLL_SECONDS)
     return float("nan")
 
 
-def one_round():
+def run_round():
     store, store_url = start("standin", "store")
     engine, engine_url = start("standin", "engine")
     common = ["--service=enquiry-lm", "--listen=127.0.0.1:0", f"--engine={engine_url}"]
-    leaving, _ = start("sidecar", "--name=enquiry-lm-1", *common, f"--store={store_url}")
-    dying, _ = start("sidecar", "--name=enquiry-lm-2", *common, f"--store={store_url}")
+    draining, _ = start("sidecar", "--name=enquiry-lm-1", *common, f"--store={store_url}")
+    killed, _ = start("sidecar", "--name=enquiry-lm-2", *common, f"--store={store_url}")
     ctl = [sys.executable, "-m", "guavacleat", "ctl", f"--store={store_url}", "apply", str(NILE)]
     subprocess.run(ctl, capture_output=True, check=True)
     gateway, gateway_url = start("gateway", "--listen=127.0.0.1:0", f"--store={store_url}")
-    until(lambda: len(endpoints(gateway_url)) == 2)
+    time_until(lambda: len(endpoints(gateway_url)) == 2)
     subprocess.run(ctl, capture_output=True, check=True)
-    in_force = until(lambda: _config_version(gateway_url) == 2)
-    leaving.send_signal(signal.SIGTERM)
-    drained = until(lambda: endpoints(gateway_url)["enquiry-lm-1"]["draining"])
-    dying.kill()
-    lapsed = until(lambda: _not_live(gateway_url))
-    for process in (gateway, engine, store, leaving):
+    applied = time_until(lambda: _config_version(gateway_url) == 2)
+    draining.send_signal(signal.SIGTERM)
+    drained = time_until(lambda: endpoints(gateway_url)["enquiry-lm-1"]["draining"])
+    killed.kill()
+    expired = time_until(lambda: _not_live(gateway_url))
+    for process in (gateway, engine, store, draining):
         process.send_signal(signal.SIGTERM)
-        process.wait(timeout=LIMIT)
-    dying.wait(timeout=LIMIT)
-    return in_force, drained, lapsed
+        process.wait(timeout=TIMEOUT_SECONDS)
+    killed.wait(timeout=TIMEOUT_SECONDS)
+    return applied, drained, expired
 
 
 def _config_version(gateway_url):
-    with urllib.request.urlopen(f"{gateway_url}/status", timeout=5) as answer:
-        return json.loads(answer.read())["config_version"]
+    with urllib.request.urlopen(f"{gateway_url}/status", timeout=5) as response:
+        return json.loads(response.read())["config_version"]
 
 
 def _not_live(gateway_url):
-    with urllib.request.urlopen(f"{gateway_url}/status", timeout=5) as answer:
-        return json.loads(answer.read())["live"].get("enquiry-lm", []) == []
+    with urllib.request.urlopen(f"{gateway_url}/status", timeout=5) as response:
+        return json.loads(response.read())["live"].get("enquiry-lm", []) == []
 
 
 def main(rounds=3):
-    figures = [one_round() for _ in range(rounds)]
-    in_force, drained, lapsed = (list(column) for column in zip(*figures, strict=True))
+    figures = [run_round() for _ in range(rounds)]
+    applied, drained, expired = (list(column) for column in zip(*figures, strict=True))
     print(
         "applied configuration in force at the gateway:"
-        f" median {statistics.median(in_force) * 1e3:.0f} ms"
+        f" median {statistics.median(applied) * 1e3:.0f} ms"
     )
-    print(f"planned stop visible at the gateway: median {statistics.median(drained) * 1e3:.0f} ms")
-    print(f"killed sidecar no longer routed to: median {statistics.median(lapsed):.2f} s")
+    print(f"draining visible at the gateway: median {statistics.median(drained) * 1e3:.0f} ms")
+    print(f"killed sidecar no longer routed to: median {statistics.median(expired):.2f} s")
 
 
 if __name__ == "__main__":
