--- a/src/guavacleat/admission/dispatcher.py
+++ b/src/guavacleat/admission/dispatcher.py
@@ -136,7 +136,7 @@
     def _try_dispatch(self, entry: _WaitingRequest, queue) -> bool:
         """Dispatch or refuse ``entry``; return False if it has to wait."""
         candidates = self._candidates(entry)
-        if not candidates or entry.request.abandoned:
+        if not candidates or entry.request.caller_disconnected:
             queue.remove(entry)
             self._refuse(entry, self.refusal(entry.request, entry.limits))
             return True
--- a/src/guavacleat/gateway/requests.py
+++ b/src/guavacleat/gateway/requests.py
@@ -57,7 +57,7 @@
         priority=deployment.priority_classes_by_name[priority_class].priority,
         prompt=prompt,
         max_tokens=max_tokens,
-        call=call_name(account, service, idempotency_key) if idempotency_key else None,
+        call_record_name=call_name(account, service, idempotency_key) if idempotency_key else None,
         arrival=now,
         repeatable=deployment.services_by_name[service].repeatable,
         resume=resume,
--- a/src/guavacleat/gateway/service.py
+++ b/src/guavacleat/gateway/service.py
@@ -62,7 +62,7 @@
         self.pool = SidecarPool(reactor)
         self.calls = CallRecords(self.store, reactor)
         self.relay = Relay(reactor, self.membership, self.dispatcher, self.pool, self.metrics)
-        self.digest_poll = DigestPoller(reactor, self.membership, self.dispatcher, self.pool)
+        self.digest_poller = DigestPoller(reactor, self.membership, self.dispatcher, self.pool)
         self.watches = [
             WatchLoop(reactor, self.store, CONFIG_KIND, self.config.offer),
             WatchLoop(
@@ -74,7 +74,7 @@
                 pause=lambda: ENDPOINT_WATCH_PAUSE_SECONDS,
             ),
         ]
-        self.instance_poll = InstancePoller(
+        self.instance_poller = InstancePoller(
             reactor, self.store, self.membership.set_leaving_instances
         )
         self.in_flight = 0
@@ -88,8 +88,8 @@
         super().startService()
         for watch in self.watches:
             watch.start()
-        self.instance_poll.rounds.start()
-        self.digest_poll.rounds.start()
+        self.instance_poller.rounds.start()
+        self.digest_poller.rounds.start()
         host, port = self.listen
         site = Site(GatewayApp(self).resource())
         self.port = self.reactor.listenTCP(port, site, interface=host)
@@ -110,8 +110,8 @@
         yield task.deferLater(self.reactor, FLUSH_SECONDS)
         for watch in self.watches:
             watch.stop()
-        self.instance_poll.rounds.stop()
-        self.digest_poll.rounds.stop()
+        self.instance_poller.rounds.stop()
+        self.digest_poller.rounds.stop()
         yield self.port.stopListening()
         self.pool.close()
         log_message(message_type="gateway:stopped", unfinished=self.in_flight)
--- a/src/guavacleat/gateway/sse.py
+++ b/src/guavacleat/gateway/sse.py
@@ -17,7 +17,7 @@
     def __init__(self, request, completion):
         self.request = request
         self.completion = completion
-        self.gone = False
+        self.disconnected = False
         self.sent = 0
         request.notifyFinish().addErrback(self._caller_disconnected)
 
@@ -31,7 +31,7 @@
 
     def end(self, reason: str) -> None:
         self._write({"finish_reason": reason, "tokens": self.sent})
-        if not self.gone:
+        if not self.disconnected:
             self.request.write(DONE)
 
     def error(self, kind: str, message: str, retry_after: float | None = None) -> None:
@@ -41,12 +41,12 @@
         self._write(body)
 
     def _write(self, body: dict) -> None:
-        if not self.gone:
+        if not self.disconnected:
             if not self.request.startedWriting:
                 self.request.setHeader("content-type", "text/event-stream")
                 self.request.setHeader("cache-control", "no-cache")
             self.request.write(b"data: " + json.dumps(body).encode() + b"\n\n")
 
     def _caller_disconnected(self, _failure) -> None:
-        self.gone = True
-        self.completion.abandoned = True
+        self.disconnected = True
+        self.completion.caller_disconnected = True
--- a/src/guavacleat/idempotency/guard.py
+++ b/src/guavacleat/idempotency/guard.py
@@ -24,10 +24,12 @@
     @defer.inlineCallbacks
     def claim(self):
         """Fire once the call may be sent; raises as :meth:`CallRecords.claim`."""
-        if self.completion.call is None:
+        if self.completion.call_record_name is None:
             return
         yield self.records.claim(
-            self.completion.call, self.completion.request_id, self.completion.fingerprint()
+            self.completion.call_record_name,
+            self.completion.request_id,
+            self.completion.fingerprint(),
         )
         self.claimed = True
 
@@ -42,9 +44,9 @@
             return defer.succeed(True)
         released = defer.Deferred()
         # The timeout must not cancel the release itself, only the wait.
-        self.records.release(self.completion.call, self.completion.request_id).chainDeferred(
-            released
-        )
+        self.records.release(
+            self.completion.call_record_name, self.completion.request_id
+        ).chainDeferred(released)
         return released.addTimeout(
             RELEASE_WAIT_SECONDS, self.records.clock, onTimeoutCancel=lambda failure, timeout: False
         )
@@ -52,13 +54,13 @@
     def mark_unknown(self) -> None:
         """Record that the call may have run and that its response is lost."""
         if self.claimed:
-            self.records.mark_unknown(self.completion.call, self.completion.request_id)
+            self.records.mark_unknown(self.completion.call_record_name, self.completion.request_id)
 
     def finish(self, progress) -> None:
         """Store the response for retries; ``progress`` is the finished ``StreamProgress``."""
         if self.claimed:
             self.records.finish(
-                self.completion.call,
+                self.completion.call_record_name,
                 self.completion.request_id,
                 progress.sent,
                 progress.finish_reason,
--- a/src/guavacleat/ingress/service.py
+++ b/src/guavacleat/ingress/service.py
@@ -97,7 +97,7 @@
         max_body_bytes = int(settings.limits.memory_bytes * BODY_MEMORY_SHARE)
         self.dispatch = Dispatch(self.holder, context, self.metrics, max_body_bytes, self.peers)
         self.evacuator = Evacuator(context, self.dispatch.sessions)
-        self.endpoint_poll = EndpointStatusPoller(
+        self.endpoint_poller = EndpointStatusPoller(
             reactor,
             self.pool,
             wire,
@@ -144,7 +144,7 @@
     def start(self) -> None:
         """Start the source and listen."""
         self.source.start(self)
-        self.endpoint_poll.start()
+        self.endpoint_poller.start()
         self._listen(self.settings.caller_address, self.caller_listener)
         self._listen(self.settings.readiness_address, self.status_listener)
         if self.metrics_port is not None:
@@ -203,7 +203,7 @@
             yield task.deferLater(self.reactor, STOP_POLL_SECONDS)
         self.caller_listener.close_idle()
         self.source.stop()
-        self.endpoint_poll.stop()
+        self.endpoint_poller.stop()
         for port in self.ports:
             port.stopListening()
         log_message(message_type="process:stopped", unfinished=self.dispatch.in_flight)
--- a/src/guavacleat/ingress/sources.py
+++ b/src/guavacleat/ingress/sources.py
@@ -22,7 +22,7 @@
 # Long-poll time of a watch. A silent store is noticed when this and the call's timeout have passed.
 # The timeout counts from the last byte received: on a slow link a response may take seconds.
 WATCH_SECONDS = 2.0
-STORE_CALL_SECONDS = 0.8
+STORE_CALL_TIMEOUT_SECONDS = 0.8
 # Maximum backoff of calls to the store; short enough to apply a configuration in time after an
 # outage.
 STORE_BACKOFF_SECONDS = 0.5
@@ -34,7 +34,7 @@
 # Up to this many gateways watch without a pause.
 MAX_GATEWAYS_WITHOUT_PAUSE = 8
 # Gateways per data centre that read the quarantine record from the store.
-QUARANTINE_READERS = 2
+QUARANTINE_READERS_PER_DATA_CENTRE = 2
 
 
 class ControlTraffic:
@@ -69,9 +69,9 @@
         self.data_centre = settings.data_centre
         self.store = StoreClient(
             f"http://{format_address(settings.store_address)}",
-            http=PooledHttp(reactor, ConnectionPool(reactor), STORE_CALL_SECONDS),
+            http=PooledHttp(reactor, ConnectionPool(reactor), STORE_CALL_TIMEOUT_SECONDS),
             dialect=adapter.dialect,
-            call_timeout=STORE_CALL_SECONDS,
+            call_timeout=STORE_CALL_TIMEOUT_SECONDS,
         )
         self.watches: list[WatchLoop] = []
         self.exchange: PeerExchange | None = None
@@ -135,7 +135,9 @@
     def _should_read_quarantine(self) -> bool:
         """Whether this gateway reads the quarantine record, also on behalf of its peers."""
         members = [self.instance, *(report.instance for report in self.peers.alive())]
-        return self.instance in select_members(members, "quarantine", QUARANTINE_READERS)
+        return self.instance in select_members(
+            members, "quarantine", QUARANTINE_READERS_PER_DATA_CENTRE
+        )
 
     def _configuration_watch_suspended(self) -> bool:
         """Whether reports from peers suffice to keep the configuration up to date."""
--- a/src/guavacleat/load/experiment.py
+++ b/src/guavacleat/load/experiment.py
@@ -56,12 +56,21 @@
     :param outcome: ``completed``, ``not_run``, ``failed``, or ``open`` if the run ended first.
     """
 
-    __slots__ = ("arrival", "clock", "gone", "token_times", "indices", "texts", "outcome", "ended")
+    __slots__ = (
+        "arrival",
+        "clock",
+        "disconnected",
+        "token_times",
+        "indices",
+        "texts",
+        "outcome",
+        "ended",
+    )
 
     def __init__(self, arrival: Arrival, clock):
         self.arrival = arrival
         self.clock = clock
-        self.gone = False
+        self.disconnected = False
         self.token_times: list[float] = []
         self.indices: list[int] = []
         self.texts: list[str] = []
--- a/src/guavacleat/streams/endpoint_stream.py
+++ b/src/guavacleat/streams/endpoint_stream.py
@@ -12,7 +12,7 @@
 __all__ = [
     "PULL_TIMEOUT_MARGIN_SECONDS",
     "PULL_WAIT_MS",
-    "START_TIMEOUT_SECONDS",
+    "SIDECAR_CALL_TIMEOUT_SECONDS",
     "EndpointStream",
     "call_with_timeout",
     "start_stream",
@@ -20,7 +20,7 @@
 
 PULL_WAIT_MS = 1000
 PULL_TIMEOUT_MARGIN_SECONDS = 2.0
-START_TIMEOUT_SECONDS = PULL_WAIT_MS / 1000 + PULL_TIMEOUT_MARGIN_SECONDS
+SIDECAR_CALL_TIMEOUT_SECONDS = PULL_WAIT_MS / 1000 + PULL_TIMEOUT_MARGIN_SECONDS
 
 
 def call_with_timeout(clock, method, *args) -> defer.Deferred:
@@ -29,7 +29,7 @@
     A healthy sidecar replies to a pull within PULL_WAIT_MS, so one timeout serves all calls.
     """
     calling = defer.maybeDeferred(method, *args)
-    return calling.addTimeout(START_TIMEOUT_SECONDS, clock)
+    return calling.addTimeout(SIDECAR_CALL_TIMEOUT_SECONDS, clock)
 
 
 class EndpointStream:
--- a/src/guavacleat/streams/messages.py
+++ b/src/guavacleat/streams/messages.py
@@ -51,13 +51,12 @@
     :param request_id: unique per arrival at this gateway.
     :param priority: the engine priority of ``priority_class`` (lower is more urgent).
     :param arrival: reactor seconds when the request arrived.
-    :param call: name of the idempotency record, or None without an idempotency key.
+    :param call_record_name: name of the idempotency record; None without an idempotency key.
     :param repeatable: false if the call may run at most once; it is then not resumed elsewhere.
     :param resume: the :class:`ResumePoint` of a reconnecting caller, or None.
     :param weight: the client account's weight in fair queueing.
 
-    ``abandoned`` is set once the caller has disconnected. ``prompt_tokens`` estimates the
-    prompt's tokens by its words.
+    ``prompt_tokens`` estimates the prompt's tokens by its words.
     """
 
     __slots__ = (
@@ -68,12 +67,12 @@
         "priority",
         "prompt",
         "max_tokens",
-        "call",
+        "call_record_name",
         "arrival",
         "repeatable",
         "resume",
         "weight",
-        "abandoned",
+        "caller_disconnected",
         "prompt_tokens",
         "_blocks",
         "_content_key",
@@ -88,7 +87,7 @@
         priority,
         prompt,
         max_tokens,
-        call,
+        call_record_name,
         arrival,
         repeatable=True,
         resume=None,
@@ -101,12 +100,12 @@
         self.priority = priority
         self.prompt = prompt
         self.max_tokens = max_tokens
-        self.call = call
+        self.call_record_name = call_record_name
         self.arrival = arrival
         self.repeatable = repeatable
         self.resume = resume
         self.weight = weight
-        self.abandoned = False
+        self.caller_disconnected = False
         self.prompt_tokens = len(prompt.split())
         self._blocks: list[str] | None = None
         self._content_key: int | None = None
--- a/src/guavacleat/streams/relay.py
+++ b/src/guavacleat/streams/relay.py
@@ -72,7 +72,8 @@
         Calls ``sink.set_handle(handle)`` whenever the stream starts on an endpoint,
         ``sink.token(index, text)`` for each token, then ``sink.end(reason)``. Fires with the
         :class:`StreamProgress` of the finished stream. If the caller disconnects
-        (``sink.gone``), a repeatable stream is no longer pulled and finishes as ``CALLER_LEFT``.
+        (``sink.disconnected``), a repeatable stream is no longer pulled and finishes as
+        ``CALLER_LEFT``.
 
         :param before_start: called once an endpoint has been acquired; the first start is sent
             after its Deferred has fired.
@@ -270,7 +271,7 @@
                 progress.finish_reason = batch.finish_reason
                 sink.end(batch.finish_reason)
                 return
-            if sink.gone and request.repeatable:
+            if sink.disconnected and request.repeatable:
                 # The stream stays readable for a reconnecting caller until its sidecar cancels
                 # it as idle.
                 progress.finish_reason = CALLER_LEFT
--- a/tests/admission/test_dispatcher.py
+++ b/tests/admission/test_dispatcher.py
@@ -83,7 +83,7 @@
     running, left = make_request(), make_request()
     dispatcher.acquire(running, LIMITS)
     waiting = dispatcher.acquire(left, LIMITS)
-    left.abandoned = True
+    left.caller_disconnected = True
     dispatcher.release("e1", running)
     with pytest.raises(NotRunError):
         result_of(waiting)
--- a/tests/idempotency/test_claims.py
+++ b/tests/idempotency/test_claims.py
@@ -99,7 +99,7 @@
 def guarded_call(records):
     """A guard that has claimed the key ``slot-1`` for ``request-a``."""
     completion = make_request()
-    completion.call, completion.request_id = "slot-1", "request-a"
+    completion.call_record_name, completion.request_id = "slot-1", "request-a"
     guard = CallGuard(records, completion)
     guard.claim()
     return guard
--- a/tests/idempotency/test_claims_machine.py
+++ b/tests/idempotency/test_claims_machine.py
@@ -51,7 +51,7 @@
         incarnation = self.incarnations[gateway]
         records = self.records[gateway]
         completion = make_request()
-        completion.call, completion.request_id = key, request_id
+        completion.call_record_name, completion.request_id = key, request_id
         guard = CallGuard(records, completion)
         claiming = guard.claim()
 
--- a/tests/ingress/test_large_configuration.py
+++ b/tests/ingress/test_large_configuration.py
@@ -7,7 +7,7 @@
 import pytest
 
 from guavacleat.ingress import IngressService
-from guavacleat.ingress.sources import STORE_CALL_SECONDS, WATCH_SECONDS, StoreSource
+from guavacleat.ingress.sources import STORE_CALL_TIMEOUT_SECONDS, WATCH_SECONDS, StoreSource
 from guavacleat.platform.adapter import PlatformAdapter
 from guavacleat.platform.settings import parse_process_settings
 from tests.ingress.slow_link import LinkReactor, seed_watch_delays
@@ -107,7 +107,7 @@
     store.write("config", "main", configuration(2, routes=1000))
     gateway.reactor.run(WATCH_SECONDS)
     gateway.reactor.stall_after_bytes = None
-    assert gateway.seconds_until(2, STORE_CALL_SECONDS + APPLY_SECONDS) is not None
+    assert gateway.seconds_until(2, STORE_CALL_TIMEOUT_SECONDS + APPLY_SECONDS) is not None
 
 
 def test_failed_watch_is_logged_with_the_bytes_received(store, monkeypatch):
--- a/tests/quarantine/crashing_fleet.py
+++ b/tests/quarantine/crashing_fleet.py
@@ -189,7 +189,7 @@
         gateway = self.gateways.pop(instance)
         self.store_links[instance].set_state("silent")
         gateway.source.stop()
-        gateway.endpoint_poll.stop()
+        gateway.endpoint_poller.stop()
         for port in gateway.ports:
             port.stopListening()
         for connection in list(gateway.caller_listener.connections):
--- a/tests/streams/test_relay.py
+++ b/tests/streams/test_relay.py
@@ -11,7 +11,7 @@
 from guavacleat.protocol.gen.sidecar.ttypes import NotRun, StartReply, TokenBatch, UnknownStream
 from guavacleat.routing import get_router_by_name
 from guavacleat.streams import CompletionRequest, Relay, StreamMismatchError
-from guavacleat.streams.endpoint_stream import START_TIMEOUT_SECONDS
+from guavacleat.streams.endpoint_stream import SIDECAR_CALL_TIMEOUT_SECONDS
 from guavacleat.streams.messages import ResumePoint, StreamBrokenError
 from tests.conftest import result_of
 
@@ -50,7 +50,7 @@
 
 
 class ListSink:
-    gone = False
+    disconnected = False
 
     def __init__(self):
         self.tokens = []
@@ -207,7 +207,7 @@
     relay = make_relay(clock, [unresponsive, healthy])
     relay.router.begin("b")
     running = relay.run(request(clock), LIMITS, sink)
-    clock.advance(START_TIMEOUT_SECONDS)
+    clock.advance(SIDECAR_CALL_TIMEOUT_SECONDS)
     result_of(running)
     assert sink.tokens == [(0, "x")]
 
@@ -216,7 +216,7 @@
     """Guards against generating tokens for a caller that has disconnected."""
     sidecar = FakeSidecar("a", [batch("g-a", 0, ["x"]), batch("g-a", 1, ["y"], True)])
     sink = ListSink()
-    sink.token = lambda index, text: setattr(sink, "gone", True)
+    sink.token = lambda index, text: setattr(sink, "disconnected", True)
     progress = result_of(make_relay(clock, [sidecar]).run(request(clock), LIMITS, sink))
     assert progress.finish_reason == "caller_left" and len(sidecar.batches) == 1
 
--- a/tests/streams/test_relay_machine.py
+++ b/tests/streams/test_relay_machine.py
@@ -60,7 +60,7 @@
 
 
 class RelayMachine(RuleBasedStateMachine):
-    gone = False
+    disconnected = False
 
     @initialize()
     def setup(self):
