--- a/src/guavacleat/forwarding/copies.py
+++ b/src/guavacleat/forwarding/copies.py
@@ -15,7 +15,7 @@
     Otherwise the engine keeps the memory and the slot until the copy expires after about five
     seconds.
     """
-    target = context.wire.free_copy_target(handle)
+    target = context.wire.free_copy_path(handle)
     try:
         await call(
             context.clock,
--- a/src/guavacleat/forwarding/native.py
+++ b/src/guavacleat/forwarding/native.py
@@ -77,5 +77,5 @@
         del status, body
         return MoveResponse(NO_MOVES, None)
 
-    def free_copy_target(self, handle: str) -> bytes:
+    def free_copy_path(self, handle: str) -> bytes:
         raise NotImplementedError("copies are not supported without a platform")
--- a/src/guavacleat/forwarding/response.py
+++ b/src/guavacleat/forwarding/response.py
@@ -115,7 +115,7 @@
 
     def _start_streaming(self) -> None:
         self.streaming = True
-        self.caller.source = self
+        self.caller.producer = self
         begin_response(self.caller, self.head)
         self.caller.write(self.body)
         self.chunks = []
--- a/src/guavacleat/forwarding/session.py
+++ b/src/guavacleat/forwarding/session.py
@@ -69,7 +69,7 @@
     async def _run_until_deadline(self) -> None:
         exchange = self.request.exchange
         exchange.on_disconnect = self.cancel
-        exchange.source = self
+        exchange.producer = self
         timer = self.context.clock.callLater(self.time_left(), self._deadline_expired)
         self.sessions.add(self)
         try:
@@ -80,7 +80,7 @@
             self._free_copy()
             self.sessions.discard(self)
             exchange.on_disconnect = None
-            exchange.source = None
+            exchange.producer = None
             if timer.active():
                 timer.cancel()
 
--- a/src/guavacleat/forwarding/wire.py
+++ b/src/guavacleat/forwarding/wire.py
@@ -46,6 +46,6 @@
     def decode_status(self, status: int, body: bytes) -> EndpointStatus:
         raise NotImplementedError
 
-    def free_copy_target(self, handle: str) -> bytes:
+    def free_copy_path(self, handle: str) -> bytes:
         """Target of the DELETE request that frees a copy, sent to the copy's source."""
         raise NotImplementedError
--- a/src/guavacleat/gateway/app.py
+++ b/src/guavacleat/gateway/app.py
@@ -81,21 +81,21 @@
             progress = yield gateway.relay.run(completion, deployment.limits, sink, call.claim)
         except NotRunError as exc:
             released = yield call.release()
-            gateway.metrics.outcome(account, class_name, "not_run")
+            gateway.metrics.record_outcome(account, class_name, "not_run")
             refusal = exc if released else _with_new_key(exc)
             return _refuse(request, refusal, kind=_refusal_kind(completion))
         except AlreadyAcceptedError as exc:
-            gateway.metrics.outcome(account, class_name, "duplicate")
+            gateway.metrics.record_outcome(account, class_name, "duplicate")
             return _already_accepted(request, completion, exc)
         except KeyReusedError as exc:
             return _bad_request(request, exc)
         except Exception as exc:  # noqa: BLE001 - reported to the caller as an error event
             call.mark_unknown()
-            gateway.metrics.outcome(account, class_name, "failed")
+            gateway.metrics.record_outcome(account, class_name, "failed")
             sink.error("failed", str(exc))
             return b""
         call.finish(progress)
-        gateway.metrics.outcome(account, class_name, _outcome(progress))
+        gateway.metrics.record_outcome(account, class_name, _outcome(progress))
         return b""
 
     @app.route("/status", methods=["GET"])
--- a/src/guavacleat/http1/client.py
+++ b/src/guavacleat/http1/client.py
@@ -48,7 +48,7 @@
 class EndpointConnection(protocol.Protocol):
     """A connection to one address; ``on_idle(connection)`` is called when it can be reused.
 
-    :ivar requests: number of requests sent on it.
+    :ivar request_count: number of requests sent on it.
     """
 
     def __init__(self, on_idle, on_closed):
@@ -56,7 +56,7 @@
         self.on_closed = on_closed
         self.parser = None
         self.listener: ResponseListener | None = None
-        self.requests = 0
+        self.request_count = 0
         self.open = False
         self.keep_alive_seconds: float | None = None
 
@@ -67,7 +67,7 @@
     def send(self, method, target, headers, body: bytes, listener: ResponseListener) -> None:
         """Send a request; ``headers`` must not include framing or hop-by-hop headers."""
         self.listener = listener
-        self.requests += 1
+        self.request_count += 1
         self.parser = h11.Connection(h11.CLIENT, max_incomplete_event_size=MAX_RESPONSE_HEAD_BYTES)
         framed_headers = [(name, value) for name, value in headers if name != b"content-length"]
         if body or method not in (b"GET", b"HEAD", b"DELETE"):
--- a/src/guavacleat/http1/pool.py
+++ b/src/guavacleat/http1/pool.py
@@ -24,7 +24,7 @@
         self.connect_timeout = connect_timeout
         self.idle_by_address: dict[tuple[str, int], collections.deque] = {}
         self.timers_by_connection: dict[EndpointConnection, object] = {}
-        self.opened = 0
+        self.opened_count = 0
 
     def connect(self, address: tuple[str, int]) -> defer.Deferred:
         """Fire with an idle connection to ``address``, or with a new one."""
@@ -38,7 +38,7 @@
 
     def connect_new(self, address: tuple[str, int]) -> defer.Deferred:
         """Fire with a new connection to ``address``."""
-        self.opened += 1
+        self.opened_count += 1
         connector = protocol.ClientCreator(
             self.reactor,
             EndpointConnection,
--- a/src/guavacleat/http1/server.py
+++ b/src/guavacleat/http1/server.py
@@ -37,7 +37,7 @@
         self.body = body
         self.on_disconnect = None
         # Producer of the response, with pause() and resume() for backpressure.
-        self.source = None
+        self.producer = None
         self.status: int | None = None
         self.ended = False
         self.aborted = False
@@ -188,7 +188,7 @@
 
     def _reject(self, status: int) -> None:
         """Respond to an invalid request and close, since the next request's start is unknown."""
-        self.listener.refused(status)
+        self.listener.on_rejected(status)
         if self.parser.our_state in (h11.IDLE, h11.SEND_RESPONSE):
             headers = [(b"content-length", b"0"), (b"connection", b"close")]
             response = h11.Response(status_code=status, headers=headers, reason=b"")
@@ -273,16 +273,16 @@
 
     :param handle: called with each :class:`CallerExchange`.
     :param limits: returns the current :class:`~guavacleat.routes.CallerLimits`.
-    :param refused: called with the response status of each invalid request.
+    :param on_rejected: called with the response status of each rejected request.
     """
 
     noisy = False
 
-    def __init__(self, reactor, handle, limits, refused=lambda status: None):
+    def __init__(self, reactor, handle, limits, on_rejected=lambda status: None):
         self.reactor = reactor
         self.handle = handle
         self.limits = limits
-        self.refused = refused
+        self.on_rejected = on_rejected
         self.connections: set[CallerConnection] = set()
         self.closing = False
 
@@ -298,5 +298,5 @@
 
     def flow_changed(self, exchange: CallerExchange, paused: bool) -> None:
         """Pause or resume the producer of the response."""
-        if exchange.source is not None:
-            (exchange.source.pause if paused else exchange.source.resume)()
+        if exchange.producer is not None:
+            (exchange.producer.pause if paused else exchange.producer.resume)()
--- a/src/guavacleat/metrics/streams.py
+++ b/src/guavacleat/metrics/streams.py
@@ -83,20 +83,20 @@
             registry=self.registry,
         )
 
-    def first_token(self, account: str, priority_class: str, seconds: float) -> None:
+    def record_first_token(self, account: str, priority_class: str, seconds: float) -> None:
         labels = self._labels(account, priority_class)
         self.ttft.observe(labels, seconds)
         self.latencies.record("ttft", labels["account"], priority_class, seconds)
 
-    def token_gap(self, account: str, priority_class: str, seconds: float) -> None:
+    def record_token_gap(self, account: str, priority_class: str, seconds: float) -> None:
         labels = self._labels(account, priority_class)
         self.gap.observe(labels, seconds)
         self.latencies.record("gap", labels["account"], priority_class, seconds)
 
-    def outcome(self, account: str, priority_class: str, outcome: str) -> None:
+    def record_outcome(self, account: str, priority_class: str, outcome: str) -> None:
         self.outcomes.inc({**self._labels(account, priority_class), "outcome": outcome})
 
-    def preempted(self, account: str, priority_class: str, count: int) -> None:
+    def record_preemptions(self, account: str, priority_class: str, count: int) -> None:
         if count:
             self.preemptions.add(self._labels(account, priority_class), count)
 
--- a/src/guavacleat/platform/engines.py
+++ b/src/guavacleat/platform/engines.py
@@ -5,7 +5,7 @@
 from guavacleat.addresses import format_address
 from guavacleat.forwarding.messages import EndpointStatus, MoveResponse
 
-__all__ = ["decode_move", "decode_status", "encode_move", "free_copy_target", "STATUS_REQUEST"]
+__all__ = ["decode_move", "decode_status", "encode_move", "free_copy_path", "STATUS_REQUEST"]
 
 MOVE_PATH = b"/-/kv-move"
 STATUS_REQUEST = (b"GET", b"/-/report")
@@ -24,7 +24,7 @@
     return b"POST", MOVE_PATH, JSON_HEADERS, json.dumps(body).encode()
 
 
-def free_copy_target(handle: str) -> bytes:
+def free_copy_path(handle: str) -> bytes:
     """Target of the DELETE request that frees a copy, sent to its source."""
     return f"/-/kv-handle/{handle}".encode()
 
--- a/src/guavacleat/platform/wire.py
+++ b/src/guavacleat/platform/wire.py
@@ -15,7 +15,7 @@
     refusal_headers = staticmethod(headers.refusal_headers)
     encode_move = staticmethod(engines.encode_move)
     decode_move = staticmethod(engines.decode_move)
-    free_copy_target = staticmethod(engines.free_copy_target)
+    free_copy_path = staticmethod(engines.free_copy_path)
     decode_status = staticmethod(engines.decode_status)
 
     def encode_status_request(self):
--- a/src/guavacleat/streams/relay.py
+++ b/src/guavacleat/streams/relay.py
@@ -267,7 +267,9 @@
             for text in batch.tokens:
                 self._send(request, sink, progress, text)
             if batch.finished:
-                self.metrics.preempted(request.account, request.priority_class, batch.preemptions)
+                self.metrics.record_preemptions(
+                    request.account, request.priority_class, batch.preemptions
+                )
                 progress.finish_reason = batch.finish_reason
                 sink.end(batch.finish_reason)
                 return
@@ -281,10 +283,12 @@
         now = self.clock.seconds()
         index = len(progress.sent)
         if index == 0:
-            self.metrics.first_token(request.account, request.priority_class, now - request.arrival)
+            self.metrics.record_first_token(
+                request.account, request.priority_class, now - request.arrival
+            )
         else:
             elapsed = now - progress.last_sent_at
-            self.metrics.token_gap(request.account, request.priority_class, elapsed)
+            self.metrics.record_token_gap(request.account, request.priority_class, elapsed)
         sink.token(index, text)
         progress.sent.append(text)
         progress.last_sent_at = now
--- a/tests/forwarding/harness.py
+++ b/tests/forwarding/harness.py
@@ -60,7 +60,7 @@
     def decode_move(self, status, body):
         return MoveResponse(status, body.decode() or None)
 
-    def free_copy_target(self, handle):
+    def free_copy_path(self, handle):
         return f"/free/{handle}".encode()
 
 
--- a/tests/http1/test_server.py
+++ b/tests/http1/test_server.py
@@ -20,9 +20,9 @@
     def __init__(self, clock):
         self.clock = clock
         self.exchanges = []
-        self.refused = []
+        self.rejected = []
         self.listener = CallerListener(
-            clock, self.exchanges.append, lambda: LIMITS, self.refused.append
+            clock, self.exchanges.append, lambda: LIMITS, self.rejected.append
         )
         self.connection = self.listener.buildProtocol(None)
         self.transport = StringTransport()
@@ -83,21 +83,21 @@
     """Guards against request smuggling: data after such a request must not be parsed."""
     caller.send(request_bytes + b"GET /smuggled HTTP/1.1\r\nhost: h\r\n\r\n")
     assert caller.exchanges == []
-    assert 400 <= caller.refused[0] < 502
+    assert 400 <= caller.rejected[0] < 502
     assert caller.closed
 
 
 def test_header_and_body_limits_have_their_own_status(clock):
     large_header = Caller(clock)
     large_header.send(b"GET /a HTTP/1.1\r\nhost: h\r\nx: " + b"y" * 3000 + b"\r\n\r\n")
-    assert large_header.refused == [431]
+    assert large_header.rejected == [431]
     large_body = Caller(clock)
     large_body.send(b"POST /a HTTP/1.1\r\nhost: h\r\ncontent-length: 101\r\n\r\n")
-    assert large_body.refused == [413]
+    assert large_body.rejected == [413]
     chunked_body = Caller(clock)
     chunked_body.send(b"POST /a HTTP/1.1\r\nhost: h\r\ntransfer-encoding: chunked\r\n\r\n")
     chunked_body.send(b"65\r\n" + b"x" * 101 + b"\r\n")
-    assert chunked_body.refused == [413]
+    assert chunked_body.rejected == [413]
 
 
 def test_slow_request_head_times_out(caller, clock):
@@ -105,7 +105,7 @@
     clock.advance(2.0)
     caller.send(b"host: h\r\n")
     clock.advance(1.1)
-    assert caller.refused == [408]
+    assert caller.rejected == [408]
 
 
 def test_idle_timeout_spares_a_connection_with_a_request_in_progress(clock):
@@ -134,11 +134,11 @@
     assert disconnects == [True] and caller.exchanges[0].disconnected
 
 
-def test_slow_reader_pauses_the_source(caller):
+def test_slow_reader_pauses_the_producer(caller):
     caller.send(b"GET /a HTTP/1.1\r\nhost: h\r\n\r\n")
     exchange = caller.exchanges[0]
 
-    class Source:
+    class RecordingProducer:
         calls = []
 
         def pause(self):
@@ -147,10 +147,10 @@
         def resume(self):
             self.calls.append("resume")
 
-    exchange.source = Source()
+    exchange.producer = RecordingProducer()
     caller.connection.pauseProducing()
     caller.connection.resumeProducing()
-    assert exchange.source.calls == ["pause", "resume"]
+    assert exchange.producer.calls == ["pause", "resume"]
 
 
 def test_closing_listener_closes_the_connection_after_the_response(caller):
--- a/tests/ingress/slow_link.py
+++ b/tests/ingress/slow_link.py
@@ -93,7 +93,9 @@
     def _end_long_poll(self, response, query):
         """End a long poll with a response without events."""
         store = self.reactor.store
-        store.waiting = [waiting for waiting in store.waiting if waiting[2] is not response]
+        store.pending_watches = [
+            waiting for waiting in store.pending_watches if waiting[2] is not response
+        ]
         if not response.called:
             response.callback(store._changes("", int(query["watch"][0])))
 
--- a/tests/platform/store_standin.py
+++ b/tests/platform/store_standin.py
@@ -40,7 +40,7 @@
         self.history = []
         self.fault = None
         self.calls = []
-        self.waiting = []
+        self.pending_watches = []
 
     def write(self, kind, name, spec):
         """Write an object as another client."""
@@ -79,15 +79,15 @@
         self.revision, objects = self.backup
         self.objects = {tuple(key): value for key, value in json.loads(objects)}
         self.history = [change for change in self.history if change[0] <= self.revision]
-        waiting, self.waiting = self.waiting, []
-        for _, _, response in waiting:
+        pending_watches, self.pending_watches = self.pending_watches, []
+        for _, _, response in pending_watches:
             response.errback(ConnectionError("cut off"))
 
     def _record_change(self, kind, name, deleted):
         event = {"object": json.loads(json.dumps(self.objects[kind, name])), "tombstone": deleted}
         self.history.append((self.revision, kind, event))
-        waiting, self.waiting = self.waiting, []
-        for kind, since, response in waiting:
+        pending_watches, self.pending_watches = self.pending_watches, []
+        for kind, since, response in pending_watches:
             response.callback(self._changes(kind, since))
 
     def request(self, method, url, data=None, timeout=None, max_body_bytes=None):
@@ -147,7 +147,7 @@
         if json.loads(response.body)["events"]:
             return defer.succeed(response)
         waiter = defer.Deferred()
-        self.waiting.append((kind, since, waiter))
+        self.pending_watches.append((kind, since, waiter))
         return waiter
 
     def _changes(self, kind, since):
--- a/tests/platform/test_store.py
+++ b/tests/platform/test_store.py
@@ -183,7 +183,7 @@
     standin.write("servers", "e2", {})
     watched = WatchedObjects(clock, client)
     clock.advance(0)
-    _, _, waiter = standin.waiting.pop()
+    _, _, waiter = standin.pending_watches.pop()
     standin.delete("servers", "e1")
     standin.compact_history()
     waiter.errback(ConnectionError())
@@ -213,7 +213,7 @@
     WatchedObjects(clock, client)
     clock.advance(0)
     standin.fault = "silent"
-    standin.waiting.pop()[2].errback(ConnectionError())
+    standin.pending_watches.pop()[2].errback(ConnectionError())
     clock.advance(1)
     standin.fault = None
     clock.advance(1)
@@ -249,7 +249,7 @@
     health_at_stop = list(watched.health)
     watched.loop.stop()
     if ending == "breaks":
-        standin.waiting.pop()[2].errback(ConnectionError())
+        standin.pending_watches.pop()[2].errback(ConnectionError())
     else:
         standin.write("servers", "e2", {})
     clock.advance(5)
--- a/tests/restore/fleet.py
+++ b/tests/restore/fleet.py
@@ -39,7 +39,9 @@
 
     def _answer_without_changes(self, response, since):
         if not response.called:
-            self.store.waiting = [watch for watch in self.store.waiting if watch[2] is not response]
+            self.store.pending_watches = [
+                watch for watch in self.store.pending_watches if watch[2] is not response
+            ]
             response.callback(self.store._changes("", since))
 
 
