--- a/src/guavacleat/config/checks.py
+++ b/src/guavacleat/config/checks.py
@@ -66,6 +66,7 @@
 
 
 def positive_number(raw: dict, field: str, problems: Problems, where: str, default=None) -> float:
+    """Return the field's value; if it is invalid, add a problem and return 1 as a placeholder."""
     value = raw.get(field, default)
     if isinstance(value, bool) or not isinstance(value, int | float) or value <= 0:
         problems.add(where + field, f"is {value!r}, not a positive number.", f"set {field} > 0.")
--- a/src/guavacleat/logs.py
+++ b/src/guavacleat/logs.py
@@ -15,7 +15,7 @@
 __all__ = ["BoundedLog", "log_to_descriptor"]
 
 LINES_PER_SECOND = 400
-# Additional lines per second for failures.
+# Additional lines per second for messages other than routine successes.
 FAILURE_LINES_PER_SECOND = 200
 ROUTINE_MESSAGE_TYPES = ("request:end", "move:done")
 
