--- a/src/guavacleat/routes/loader.py
+++ b/src/guavacleat/routes/loader.py
@@ -33,7 +33,7 @@
 __all__ = ["RoutesFile", "load_routes", "parse_routes"]
 
 KINDS_BY_NAME = {kind.value: kind for kind in RequestKind}
-DEFAULT_CONNECTIONS = 100
+DEFAULT_MAX_CONNECTIONS = 100
 DEFAULT_PRIORITY = 5
 
 
@@ -96,7 +96,7 @@
 
 def _service(index: int, item: dict, problems: Problems) -> ServiceTraits:
     where = f"services[{index}]."
-    connections = positive_number(item, "max_connections", problems, where, DEFAULT_CONNECTIONS)
+    connections = positive_number(item, "max_connections", problems, where, DEFAULT_MAX_CONNECTIONS)
     engine = item.get("engine")
     traits = _engine(engine, problems, where + "engine.") if engine else None
     return ServiceTraits(text_field(item, "name", problems, where), int(connections), traits)
--- a/src/guavacleat/routes/model.py
+++ b/src/guavacleat/routes/model.py
@@ -96,7 +96,7 @@
 class EngineTraits:
     """Properties shared by the model engines of a service.
 
-    :param slots: generations in one batch.
+    :param slots: maximum number of generations in one batch.
     :param memory_tokens: capacity of an engine's memory in tokens.
     :param token_bytes: bytes of engine memory per token.
     :param link_mbps: bandwidth between engines in Mbit/s.
--- a/tests/routes/test_routes.py
+++ b/tests/routes/test_routes.py
@@ -38,12 +38,12 @@
 @given(st.lists(st.integers(1, 50), min_size=1))
 def test_version_in_force_never_decreases(versions):
     """A stale read or a replayed watch must not restore a removed route or a revoked key."""
-    holder, seen = RouteHolder(), []
+    holder, versions_in_force = RouteHolder(), []
     for version in versions:
         holder.offer(table(version=version))
-        seen.append(holder.table.version)
-    assert seen == sorted(seen)
-    assert seen[-1] == max(versions)
+        versions_in_force.append(holder.table.version)
+    assert versions_in_force == sorted(versions_in_force)
+    assert versions_in_force[-1] == max(versions)
 
 
 def test_older_version_is_ignored_and_logged(monkeypatch):
