--- a/src/guavacleat/sidecar/occupancy.py
+++ b/src/guavacleat/sidecar/occupancy.py
@@ -124,6 +124,7 @@
             (self.lengths.remaining(s.kind, s.emitted, s.max_tokens), s.held_tokens)
             for s in streams
         )
+        # Tokens held now by the ``count`` streams that end last.
         held_by_count = list(itertools.accumulate((held for _, held in reversed(ends)), initial=0))
         running = range(len(ends), 0, -1)
         return max(
--- a/src/guavacleat/streams/messages.py
+++ b/src/guavacleat/streams/messages.py
@@ -114,8 +114,8 @@
     def content_key(self) -> int:
         """Hash of the service, client account, token limit and prompt, without the request id."""
         if self._content_key is None:
-            asked = (self.service, self.account, str(self.max_tokens), self.prompt)
-            self._content_key = fingerprint(*(part.encode() for part in asked))
+            parts = (self.service, self.account, str(self.max_tokens), self.prompt)
+            self._content_key = fingerprint(*(part.encode() for part in parts))
         return self._content_key
 
     def blocks(self) -> list[str]:
