--- a/src/guavacleat/gateway/app.py
+++ b/src/guavacleat/gateway/app.py
@@ -1,13 +1,13 @@
 """HTTP routes of the gateway (klein).
 
 - ``POST /v1/completions``: JSON ``{"service", "account", "priority_class", "prompt",
-  "max_tokens"}``, optional ``Idempotency-Key`` header; responds with SSE events
-  ``{"stream"}`` (the handle to resume with), ``{"index", "text"}``, then
-  ``{"finish_reason", "tokens"}`` and ``[DONE]``. A request refused
-  before any engine started it gets 429 (or 503 without a configuration) with a ``Retry-After``
-  header and ``{"error": {"type": "not_run", ...}}``. A retry of a non-repeatable call gets the
-  stored response, or 409 with ``Retry-After`` while the first attempt runs. A caller
-  that lost its connection posts the same body to any gateway with ``"resume": {"stream": handle,
+  "max_tokens"}``, optional ``Idempotency-Key`` header; responds with SSE events ``{"stream"}``
+  (the handle to resume with), ``{"index", "text"}``, then ``{"finish_reason", "tokens"}`` and
+  ``[DONE]``. A request refused before any engine started it gets 429 (503 if the gateway has no
+  configuration or is stopping) with a ``Retry-After`` header and
+  ``{"error": {"type": "not_run", ...}}``. A retry of a non-repeatable call gets the stored
+  response, or 409 with ``Retry-After`` while the first attempt runs. A caller that lost its
+  connection posts the same body to any gateway with ``"resume": {"stream": handle,
   "received": [texts]}`` and gets the remaining tokens (429 ``not_resumed`` if no endpoint can
   resume the stream now).
 - ``GET /status``: configuration version, live endpoints, in-flight counts, latency summary.
--- a/src/guavacleat/gateway/sse.py
+++ b/src/guavacleat/gateway/sse.py
@@ -18,7 +18,7 @@
         self.request = request
         self.completion = completion
         self.disconnected = False
-        self.sent = 0
+        self.tokens_sent = 0
         request.notifyFinish().addErrback(self._caller_disconnected)
 
     def set_handle(self, handle: str) -> None:
@@ -27,10 +27,10 @@
 
     def token(self, index: int, text: str) -> None:
         self._write({"index": index, "text": text})
-        self.sent += 1
+        self.tokens_sent += 1
 
     def end(self, reason: str) -> None:
-        self._write({"finish_reason": reason, "tokens": self.sent})
+        self._write({"finish_reason": reason, "tokens": self.tokens_sent})
         if not self.disconnected:
             self.request.write(DONE)
 
