--- a/src/guavacleat/ingress/dispatch.py
+++ b/src/guavacleat/ingress/dispatch.py
@@ -142,9 +142,11 @@
         During a rolling stop of all gateways, an immediate retry would be refused by the next one
         and use up the caller's retry.
         """
-        own = self._stops_at - now + RESTART_SECONDS
-        peer = self.peers.seconds_until_ready()
-        return own if peer is None else max(RETRY_AFTER_STOPPING, min(own, peer))
+        own_wait = self._stops_at - now + RESTART_SECONDS
+        peer_wait = self.peers.seconds_until_ready()
+        return (
+            own_wait if peer_wait is None else max(RETRY_AFTER_STOPPING, min(own_wait, peer_wait))
+        )
 
     def _match(self, exchange: CallerExchange, arrived: float) -> ForwardedRequest:
         """Look up the route and the account; raise :class:`RefusalError` without them."""
--- a/src/guavacleat/ingress/sources.py
+++ b/src/guavacleat/ingress/sources.py
@@ -19,14 +19,16 @@
 
 __all__ = ["ControlTraffic", "FileSource", "StoreSource"]
 
-# Long-poll time of a watch. A silent store is noticed when this and the call's timeout have passed.
-# The timeout counts from the last byte received: on a slow link a response may take seconds.
+# Maximum long-poll time of a watch. A silent store is noticed after this and the call timeout.
 WATCH_SECONDS = 2.0
+# Timeout until a response begins and, from then on, since the last byte received: on a slow link a
+# whole response may take seconds.
 STORE_CALL_TIMEOUT_SECONDS = 0.8
 # Maximum backoff of calls to the store; short enough to apply a configuration in time after an
 # outage.
 STORE_BACKOFF_SECONDS = 0.5
-# The same for a gateway that does not watch: watching peers report when the store is back.
+# Delay before a gateway that does not watch repeats a failed call; longer than the backoff, since
+# watching peers report when the store is back.
 UNREACHABLE_RETRY_SECONDS = 1.5
 # Maximum pause between endpoint watches of a gateway that shares watching with peers; shorter than
 # an engine's notice before it leaves.
@@ -140,25 +142,25 @@
         )
 
     def _configuration_watch_suspended(self) -> bool:
-        """Whether reports from peers suffice to keep the configuration up to date."""
+        """Whether this gateway leaves watching the configuration to its peers for now."""
         if self.should_watch():
             return False
-        return not self.configuration.must_query_store() or self._peers_retry(
+        return not self.configuration.must_query_store() or self._retry_left_to_peers(
             self.configuration_watch
         )
 
-    def _peers_retry(self, watch: WatchLoop) -> bool:
+    def _retry_left_to_peers(self, watch: WatchLoop) -> bool:
         """Whether the last call failed recently, so that retries are left to watching peers."""
         since = self.reactor.seconds() - watch.called_at
         return watch.failures > 0 and since < UNREACHABLE_RETRY_SECONDS
 
     def _endpoint_watch_suspended(self) -> bool:
-        """Whether reports from peers suffice to keep the endpoints up to date."""
+        """Whether this gateway leaves watching the endpoints to its peers for now."""
         if store_silence(self.registry, self.peers) > STORE_SILENCE_SECONDS:
             self.registry.record_store_silence()
         if self.should_watch():
             return False
-        if self._peers_retry(self.endpoint_watch):
+        if self._retry_left_to_peers(self.endpoint_watch):
             return True
         if self.endpoints.must_query_store():
             return False
--- a/tests/ingress/slow_link.py
+++ b/tests/ingress/slow_link.py
@@ -74,7 +74,7 @@
     def __init__(self, reactor, protocol):
         super().__init__()
         self.reactor = reactor
-        self.owner = protocol
+        self.gateway_protocol = protocol
         self.lost = False
 
     def write(self, data):
@@ -106,13 +106,13 @@
 
     def deliver(self, piece):
         if not self.lost:
-            self.owner.dataReceived(piece)
+            self.gateway_protocol.dataReceived(piece)
 
     def abortConnection(self):  # noqa: N802 - Twisted's name
         if not self.lost:
             self.lost = True
             reason = Failure(ConnectionAborted())
-            self.reactor.callLater(0, self.owner.connectionLost, reason)
+            self.reactor.callLater(0, self.gateway_protocol.connectionLost, reason)
 
     loseConnection = abortConnection  # noqa: N815 - Twisted's name
 
