--- a/src/guavacleat/ingress/dispatch.py
+++ b/src/guavacleat/ingress/dispatch.py
@@ -14,7 +14,7 @@
 from guavacleat.http1.messages import end_to_end_headers
 from guavacleat.http1.server import CallerExchange
 from guavacleat.lengths import LengthForecast
-from guavacleat.peers.table import RESTART_SECONDS
+from guavacleat.peers.table import GATEWAY_RESTART_SECONDS
 from guavacleat.quarantine import format_fingerprint
 from guavacleat.routes import Account, RequestKind, Route, RouteTable, ServiceTraits
 
@@ -142,7 +142,7 @@
         During a rolling stop of all gateways, an immediate retry would be refused by the next one
         and use up the caller's retry.
         """
-        own_wait = self._stops_at - now + RESTART_SECONDS
+        own_wait = self._stops_at - now + GATEWAY_RESTART_SECONDS
         peer_wait = self.peers.seconds_until_ready()
         return (
             own_wait if peer_wait is None else max(RETRY_AFTER_STOPPING, min(own_wait, peer_wait))
--- a/src/guavacleat/peers/table.py
+++ b/src/guavacleat/peers/table.py
@@ -11,13 +11,13 @@
 from guavacleat.peers.report import GatewayReport
 from guavacleat.placement import EndpointLoad, sum_loads
 
-__all__ = ["PeerTable", "RESTART_SECONDS", "PEER_TIMEOUT_SECONDS"]
+__all__ = ["PeerTable", "GATEWAY_RESTART_SECONDS", "PEER_TIMEOUT_SECONDS"]
 
 # A peer without reports for this time is considered down: three lost heartbeats.
 PEER_TIMEOUT_SECONDS = 1.6
 # From the end of a gateway's process until the restarted one takes requests: process start,
 # loading the configuration, and the load balancer's next health check.
-RESTART_SECONDS = 1.0
+GATEWAY_RESTART_SECONDS = 1.0
 
 
 class _Peer:
@@ -106,8 +106,8 @@
     def seconds_until_ready(self) -> float | None:
         """Seconds until a peer takes requests: 0 if one does now, None if there is no live peer.
 
-        A peer that is being stopped is expected to be ready again ``RESTART_SECONDS`` after the
-        announced end of its process.
+        A peer that is being stopped is expected to be ready again ``GATEWAY_RESTART_SECONDS`` after
+        the announced end of its process.
         """
         now = self.clock.seconds()
         waits = [self._ready_at(peer) - now for peer in self._all_peers()]
@@ -119,7 +119,9 @@
         """Time at which the peer takes requests, or last reported that it does."""
         stops_in = peer.report.stops_in
         return (
-            peer.received_at if stops_in is None else peer.received_at + stops_in + RESTART_SECONDS
+            peer.received_at
+            if stops_in is None
+            else peer.received_at + stops_in + GATEWAY_RESTART_SECONDS
         )
 
     def total(self, endpoint_id: str) -> EndpointLoad:
--- a/tests/ingress/test_dispatch.py
+++ b/tests/ingress/test_dispatch.py
@@ -9,7 +9,7 @@
 from guavacleat.ingress.metrics import IngressMetrics
 from guavacleat.peers import PeerTable
 from guavacleat.peers.report import GatewayReport
-from guavacleat.peers.table import RESTART_SECONDS
+from guavacleat.peers.table import GATEWAY_RESTART_SECONDS
 from guavacleat.routes import (
     Account,
     Backend,
@@ -214,11 +214,11 @@
 
 STOPS = [
     # (seconds until each peer's process ends, None: it is not stopping; expected retry_after)
-    ([], 7.5 + RESTART_SECONDS),
+    ([], 7.5 + GATEWAY_RESTART_SECONDS),
     ([None], 0.1),
     ([2.0, None], 0.1),
-    ([2.0, 5.0], 2.0 + RESTART_SECONDS),
-    ([20.0], 7.5 + RESTART_SECONDS),
+    ([2.0, 5.0], 2.0 + GATEWAY_RESTART_SECONDS),
+    ([20.0], 7.5 + GATEWAY_RESTART_SECONDS),
 ]
 
 
--- a/tests/peers/test_peers.py
+++ b/tests/peers/test_peers.py
@@ -17,7 +17,7 @@
 )
 from guavacleat.peers.report import BadReportError, GatewayReport, decode_report, encode_report
 from guavacleat.peers.sync import ConfigurationSyncState, EndpointSyncState
-from guavacleat.peers.table import PEER_TIMEOUT_SECONDS, RESTART_SECONDS
+from guavacleat.peers.table import GATEWAY_RESTART_SECONDS, PEER_TIMEOUT_SECONDS
 from guavacleat.placement import EndpointLoad, LoadTracker, Run
 from guavacleat.quarantine import CrashTracker
 from guavacleat.store import ConflictError, StoredObject, StoreUnavailableError, WatchBatch
@@ -277,8 +277,8 @@
     assert peer_table.seconds_until_ready() is None
     peer_table.observe(GatewayReport("g2", 1, 1, {}, stops_in=4.0))
     clock.advance(3.0)
-    assert peer_table.seconds_until_ready() == 1.0 + RESTART_SECONDS
-    clock.advance(1.0 + RESTART_SECONDS)
+    assert peer_table.seconds_until_ready() == 1.0 + GATEWAY_RESTART_SECONDS
+    clock.advance(1.0 + GATEWAY_RESTART_SECONDS)
     assert peer_table.seconds_until_ready() == 0.0
     clock.advance(PEER_TIMEOUT_SECONDS + 0.1)
     assert peer_table.seconds_until_ready() is None, "the peer did not restart"
