--- a/src/guavacleat/admission/dispatcher.py
+++ b/src/guavacleat/admission/dispatcher.py
@@ -41,14 +41,14 @@
 
     :param membership: a ``MembershipView``.
     :param router: a ``Router``.
-    :param queue: the queueing discipline, a key of ``QUEUES_BY_NAME``.
+    :param queue_name: the queueing discipline, a key of ``QUEUES_BY_NAME``.
     """
 
-    def __init__(self, clock: IReactorTime, membership, router, queue: str = "fair"):
+    def __init__(self, clock: IReactorTime, membership, router, queue_name: str = "fair"):
         self.clock = clock
         self.membership = membership
         self.router = router
-        self.queue = queue
+        self.queue_name = queue_name
         self.account_limit = AccountQueueLimit()
         self.queues_by_service: dict[str, object] = {}
         # (clock time, expected cost) of each service's most recent dispatches.
@@ -126,8 +126,8 @@
     def _backfill(self, queue) -> None:
         """Dispatch short requests ahead of a head that no endpoint has capacity for.
 
-        A short output releases its capacity before it delays the head by much. Its tokens are
-        charged to its account, so short requests gain no extra share.
+        A short output releases its capacity soon, so it delays the head only slightly. Its tokens
+        are charged to its account, so short requests gain no extra share.
         """
         for entry in queue.backfill_candidates():
             if self._expected_output(entry.request) <= SHORT_OUTPUT:
@@ -163,7 +163,7 @@
     def _queue(self, service: str):
         queue = self.queues_by_service.get(service)
         if queue is None:
-            queue = self.queues_by_service[service] = get_queue_by_name(self.queue)
+            queue = self.queues_by_service[service] = get_queue_by_name(self.queue_name)
             self.dispatches_by_service[service] = deque(maxlen=RECENT_DISPATCHES)
         return queue
 
--- a/src/guavacleat/admission/generations.py
+++ b/src/guavacleat/admission/generations.py
@@ -22,8 +22,8 @@
 
 # Maximum share of a request's timeout spent in the queue, so that its caller can still retry.
 MAX_WAIT_SHARE = 1 / 3
-# Maximum random delay before a dispatch. All gateways see freed capacity at the same time, and a
-# delay longer than a peer's report takes keeps them from all choosing the same engine.
+# Maximum random delay before a dispatch. All gateways see freed capacity at the same time; with
+# delays of several times a peer report's latency, they seldom all choose the same engine.
 DISPATCH_JITTER_SECONDS = 0.03
 # Interval of dispatches without a notification, for capacity that no report announces (a new
 # engine, or the runs of a peer that no longer reports).
@@ -34,8 +34,8 @@
 RETRY_AFTER_SECONDS = 1.0
 
 
-class _FairShare:
-    """Account, weight and priority of a queued request, as :class:`FairQueue` reads them."""
+class _FairQueueRequest:
+    """The attributes of a queued request that :class:`FairQueue` reads."""
 
     __slots__ = ("account", "weight", "priority")
 
@@ -48,8 +48,8 @@
 class _WaitingRequest:
     """A queued request.
 
-    ``request`` is what :class:`FairQueue` reads; ``result`` fires with the engine, or with None if
-    the caller cancelled.
+    ``request`` is what :class:`FairQueue` reads of ``forwarded``; ``result`` fires with the engine,
+    or with None if the caller cancelled.
 
     :param rank: whether the request will be late, then its priority; the lowest is served first.
     :param queued_at: clock time at which it was queued.
@@ -59,7 +59,7 @@
 
     def __init__(self, forwarded, tried: set[str], rank: tuple[bool, int], queued_at: float):
         self.forwarded = forwarded
-        self.request = _FairShare(forwarded.account_name, forwarded.priority)
+        self.request = _FairQueueRequest(forwarded.account_name, forwarded.priority)
         self.tried = frozenset(tried)
         self.rank = rank
         self.queued_at = queued_at
@@ -114,11 +114,13 @@
         if not len(queue) and (engine := self._find_engine(entry)) is not None:
             self._record_dispatch(queue, entry)
             return defer.succeed(engine)
-        wait_deadline = request.arrived + MAX_WAIT_SHARE * (request.deadline - request.arrived)
+        wait_deadline = request.arrived_at + MAX_WAIT_SHARE * (
+            request.deadline - request.arrived_at
+        )
         expected_wait = self._expected_wait(queue, entry)
         if now + expected_wait > wait_deadline:
             retry_after = max(RETRY_AFTER_SECONDS, now + expected_wait - wait_deadline)
-            return defer.fail(self._refusal(entry, retry_after, "expected", expected_wait))
+            return defer.fail(self._refusal(entry, retry_after, "expected to wait", expected_wait))
         entry.result = defer.Deferred(lambda result: self._cancel(queue, entry))
         entry.timers = [self.clock.callLater(wait_deadline - now, self._expire, queue, entry)]
         if not entry.rank[0]:
@@ -162,8 +164,8 @@
     def _dispatch_next(self, queue: _ServiceQueue) -> bool:
         """Dispatch the first request that an engine has capacity for; False if there is none.
 
-        Behind a request without capacity only short outputs are dispatched: they release their
-        capacity before they delay it by much.
+        Behind a request that no engine has capacity for, only short outputs are dispatched: they
+        release their capacity soon, so they delay it only slightly.
         """
         only_short = False
         for fair_queue in queue.queues_in_order():
@@ -236,8 +238,8 @@
             if timer.active():
                 timer.cancel()
 
-    def _refusal(self, entry, retry_after: float, word: str, seconds: float) -> RefusalError:
-        return RefusalError(RefusalReason.NO_ROOM, retry_after, f"{word} to wait {seconds:.2f} s")
+    def _refusal(self, entry, retry_after: float, verb: str, seconds: float) -> RefusalError:
+        return RefusalError(RefusalReason.NO_ROOM, retry_after, f"{verb} {seconds:.2f} s")
 
 
 def _is_short(entry: _WaitingRequest) -> bool:
--- a/src/guavacleat/admission/queues.py
+++ b/src/guavacleat/admission/queues.py
@@ -151,7 +151,8 @@
         """Tokens dispatched before ``request``, which is expected to cost ``cost``.
 
         Until the queue's virtual time reaches the request's start time, every waiting account is
-        served in proportion to its weight. The account's own earlier requests are the minimum.
+        served in proportion to its weight. The minimum is the cost of the account's own earlier
+        requests and of this one.
         """
         heap = self.heaps_by_account.get(request.account, ())
         ahead = sum(priority <= request.priority for priority, _, _ in heap)
--- a/src/guavacleat/forwarding/attempt_opener.py
+++ b/src/guavacleat/forwarding/attempt_opener.py
@@ -49,7 +49,7 @@
         self.context.quarantine.request_sent(self.request, entry.id)
         attempt = StreamAttempt(entry, self.request.metadata.id, self.context.wire, self.session)
         attempt.connection, attempt.run, attempt.backup = connection, run, backup
-        attempt.began = self.context.clock.seconds()
+        attempt.sent_at = self.context.clock.seconds()
         attempt.done.addBoth(self._attempt_finished, attempt)
         self._send(attempt, resume)
         return attempt
@@ -75,7 +75,7 @@
             self.context.load.record_failure(attempt.entry.id)
         if attempt.disconnected:
             self.context.quarantine.request_interrupted(
-                self.request, attempt.entry.id, attempt.began
+                self.request, attempt.entry.id, attempt.sent_at
             )
         elif outcome is StreamOutcome.COMPLETE:
             self.context.quarantine.request_completed(self.request)
--- a/src/guavacleat/forwarding/handover.py
+++ b/src/guavacleat/forwarding/handover.py
@@ -1,7 +1,8 @@
 """Moves a stream to another engine while its current engine still runs it.
 
-Streams that resume on the same engine at the same time wait for each other's prefill. Handing them
-over one by one, before their engine stops, keeps the pauses short.
+A resumed stream prefills its last tokens on the new engine, and streams that resume there at the
+same time wait for each other. Handing them over one by one, before their engine stops, keeps the
+pauses short.
 
 The attempt on the current engine ends at the first event from the new one, or after
 ``OVERLAP_SECONDS``: a run may execute on two engines for at most 0.4 s.
@@ -28,20 +29,18 @@
 class Handover:
     """One handover of ``session``, a :class:`~.session.StreamSession` that has a copy.
 
-    :param attempt: the attempt on the new engine, once it was sent.
+    :param attempt: the attempt on the new engine; None until it is opened.
     """
 
     def __init__(self, session):
         self.session = session
         self.attempt: StreamAttempt | None = None
-        # Fires when the attempt was opened or could not be.
+        # Fires when the attempt was opened or failed to open.
         self._opened = defer.Deferred()
         # Fires with whether the stream switched to the new engine.
         self._ended = defer.Deferred()
-        # Fires at the current engine's next event.
-        self._event = defer.Deferred()
-        # Timer for OVERLAP_SECONDS.
-        self._overlap = None
+        self._next_event = defer.Deferred()
+        self._overlap_timer = None
         # Events that the current engine sent after the new attempt was opened.
         self._delayed: collections.deque = collections.deque()
 
@@ -52,7 +51,7 @@
         copy = session.memory.copy
         session.context.budget.record_retry(session.request.service)
         timer = clock.callLater(NEXT_EVENT_TIMEOUT_SECONDS, self.stop_waiting_for_event)
-        await self._event
+        await self._next_event
         if timer.active():
             timer.cancel()
         if session.memory.copy is not copy or session.finished or session.attempt.ended:
@@ -62,14 +61,14 @@
         self.attempt = await session.opener.open(copy.entry, point, with_backup=False)
         if self.attempt is not None:
             session.memory.drop_copy()
-            self._overlap = clock.callLater(OVERLAP_SECONDS, session.stop_current_attempt)
+            self._overlap_timer = clock.callLater(OVERLAP_SECONDS, session.stop_current_attempt)
             self.attempt.done.addCallback(self._attempt_ended)
         self._opened.callback(None)
         if self.attempt is None:
             return False
         return await self._ended
 
-    def delay_event(self, attempt: StreamAttempt, event) -> None:
+    def forward_or_delay(self, attempt: StreamAttempt, event) -> None:
         """Forward an event of the current engine, with a delay once the new attempt is open."""
         if self.attempt is None:
             self.session.forward_event(attempt, event)
@@ -84,10 +83,10 @@
 
     def stop_waiting_for_event(self) -> None:
         """Stop waiting for the current engine's next event."""
-        if not self._event.called:
-            self._event.callback(None)
+        if not self._next_event.called:
+            self._next_event.callback(None)
 
-    async def take(self) -> StreamAttempt | None:
+    async def take_attempt(self) -> StreamAttempt | None:
         """Return the new attempt after the current one ended; None if there is none."""
         self.stop_waiting_for_event()
         if not self._opened.called:
@@ -112,8 +111,8 @@
         return outcome
 
     def _end(self, switched: bool) -> None:
-        if self._overlap is not None and self._overlap.active():
-            self._overlap.cancel()
+        if self._overlap_timer is not None and self._overlap_timer.active():
+            self._overlap_timer.cancel()
         if switched:
             # The new engine regenerates these events.
             self._delayed.clear()
--- a/src/guavacleat/forwarding/isolation.py
+++ b/src/guavacleat/forwarding/isolation.py
@@ -30,10 +30,10 @@
 
 def may_resume_at(context, request: ForwardedRequest, entry: EndpointEntry) -> bool:
     """Whether an interrupted run may resume on ``entry``."""
-    kind = context.quarantine.status(request).state
-    if kind is QuarantineState.ISOLATED:
+    quarantine_state = context.quarantine.status(request).state
+    if quarantine_state is QuarantineState.ISOLATED:
         return context.placement.is_lightly_loaded(entry)
-    return kind is QuarantineState.FREE
+    return quarantine_state is QuarantineState.FREE
 
 
 def _refusal(status: QuarantineStatus, retry_after: float) -> RefusalError:
--- a/src/guavacleat/forwarding/memory.py
+++ b/src/guavacleat/forwarding/memory.py
@@ -82,7 +82,10 @@
         return self.expected_tokens() - self.tokens
 
     def worth_moving(self) -> bool:
-        """Whether the run is expected to outlast a leaving engine's notice period."""
+        """Whether the run is expected to outlast a leaving engine's notice period.
+
+        A run that is longer than a short one already is assumed to continue.
+        """
         traits = self.request.traits.engine
         if traits is None or not traits.moves:
             return False
--- a/src/guavacleat/forwarding/native.py
+++ b/src/guavacleat/forwarding/native.py
@@ -26,8 +26,9 @@
 PRIORITY = b"x-priority"
 ENDPOINT = b"x-endpoint"
 NOT_RUN = b"x-not-run"
+# Headers that the gateway removes or replaces.
 OWNED = {KEY, DEADLINE, ACCOUNT, PRIORITY, ENDPOINT}
-NO_MOVES = 501
+NOT_IMPLEMENTED = 501  # HTTP status
 
 
 class NativeWire(Wire):
@@ -75,7 +76,7 @@
 
     def decode_move(self, status: int, body: bytes) -> MoveResponse:
         del status, body
-        return MoveResponse(NO_MOVES, None)
+        return MoveResponse(NOT_IMPLEMENTED, None)
 
     def free_copy_path(self, handle: str) -> bytes:
         raise NotImplementedError("copies are not supported without a platform")
--- a/src/guavacleat/forwarding/plain.py
+++ b/src/guavacleat/forwarding/plain.py
@@ -96,16 +96,18 @@
     def _should_retry_failure(
         self, request: ForwardedRequest, response: CheckedResponse, runs: int
     ) -> bool:
-        """Whether to retry a server error on another endpoint."""
+        """Whether to retry after a server error."""
         if response.head.status < SERVER_ERROR:
             return False
-        others = self.context.placement.choose_for_plain_request(request.service, set()) is not None
-        return others and self._may_retry(request, runs)
+        has_endpoint = (
+            self.context.placement.choose_for_plain_request(request.service, set()) is not None
+        )
+        return has_endpoint and self._may_retry(request, runs)
 
     async def _attempt(self, request, entry, last_attempt):
         """Send to one endpoint; return the :class:`AttemptOutcome` and the response."""
         context = self.context
-        began = context.clock.seconds()
+        started_at = context.clock.seconds()
         response = CheckedResponse(request.exchange, request.metadata.id, context.wire)
         try:
             connection = await context.pool.connect(entry.address)
@@ -124,9 +126,9 @@
         outcome = await self._exchange(
             request, entry, connection, response, time_left, attempt_timeout
         )
-        latency = context.clock.seconds() - began
+        latency = context.clock.seconds() - started_at
         self._record_health(entry, outcome, response, latency)
-        self._report_to_quarantine(request, entry, outcome, response, began)
+        self._report_to_quarantine(request, entry, outcome, response, started_at)
         self._log_attempt(request, entry, outcome, response)
         return outcome, response
 
@@ -166,11 +168,11 @@
         elif outcome is not AttemptOutcome.STREAMED:
             self.context.load.record_failure(entry.id)
 
-    def _report_to_quarantine(self, request, entry, outcome, response, began: float) -> None:
+    def _report_to_quarantine(self, request, entry, outcome, response, started_at: float) -> None:
         """Report to the quarantine whether the endpoint survived the request."""
         quarantine = self.context.quarantine
         if response.disconnected:
-            quarantine.request_interrupted(request, entry.id, began)
+            quarantine.request_interrupted(request, entry.id, started_at)
         elif outcome is AttemptOutcome.ANSWERED or (
             outcome is AttemptOutcome.STREAMED and not request.exchange.aborted
         ):
--- a/src/guavacleat/forwarding/request.py
+++ b/src/guavacleat/forwarding/request.py
@@ -15,7 +15,8 @@
 class ForwardedRequest:
     """A request being forwarded.
 
-    :param arrived: clock time of arrival.
+    :param version: version of the configuration that matched the request.
+    :param arrived_at: clock time of arrival.
     :param deadline: clock time at which the caller's or the route's timeout expires.
     :param forecast: forecast of the route's output lengths; None if there is none yet.
     """
@@ -28,7 +29,7 @@
         "service",
         "traits",
         "version",
-        "arrived",
+        "arrived_at",
         "deadline",
         "headers",
         "forecast",
@@ -44,7 +45,7 @@
         service: str,
         traits: ServiceTraits,
         version: int,
-        arrived: float,
+        arrived_at: float,
         headers: list[tuple[bytes, bytes]],
         forecast: LengthForecast | None = None,
     ):
@@ -55,9 +56,9 @@
         self.service = service
         self.traits = traits
         self.version = version
-        self.arrived = arrived
+        self.arrived_at = arrived_at
         time_limit = route.timeout if metadata.caller_timeout is None else metadata.caller_timeout
-        self.deadline = arrived + min(time_limit, route.timeout)
+        self.deadline = arrived_at + min(time_limit, route.timeout)
         self.headers = headers
         self.forecast = forecast or LengthForecast(
             metadata.max_output_tokens or DEFAULT_MAX_OUTPUT_TOKENS
--- a/src/guavacleat/forwarding/session.py
+++ b/src/guavacleat/forwarding/session.py
@@ -45,7 +45,7 @@
         self.attempt: StreamAttempt | None = None
         self.last_event: int | None = None
         self.moves = 0
-        self.timings = StreamTimings(request.arrived)
+        self.timings = StreamTimings(request.arrived_at)
         self.memory = StreamMemory(request, context.load)
         self.handover: Handover | None = None
         self.opener = AttemptOpener(self, request, context, self.memory, self._log)
@@ -206,7 +206,7 @@
     def attempt_event(self, attempt: StreamAttempt, event) -> None:
         """Called with each complete event from an endpoint."""
         if self.handover is not None and attempt is not self.handover.attempt:
-            self.handover.delay_event(attempt, event)
+            self.handover.forward_or_delay(attempt, event)
             return
         if self.handover is not None and attempt is not self.attempt:
             self.stop_current_attempt()
@@ -232,7 +232,7 @@
     async def _resume_elsewhere(self) -> bool:
         """Continue a failed attempt on another engine; return False if none can."""
         if self.handover is not None:
-            attempt = await self.handover.take()
+            attempt = await self.handover.take_attempt()
             if attempt is not None and not self.finished:
                 self.moves += 1
                 self._use_attempt(attempt)
--- a/src/guavacleat/forwarding/stream_attempt.py
+++ b/src/guavacleat/forwarding/stream_attempt.py
@@ -51,8 +51,7 @@
         # The run's entry in the load tracker, and the backup requested with it.
         self.run: Run | None = None
         self.backup: RunCopy | None = None
-        # Clock time when the request was sent.
-        self.began = float("-inf")
+        self.sent_at = float("-inf")
         self.head: ResponseHead | None = None
         self.check: ResponseCheck | None = None
         self.splitter = EventSplitter()
@@ -72,7 +71,7 @@
         self.connection.abandon()
 
     def _reject(self) -> None:
-        """Close the connection after data that does not belong to this stream."""
+        """Close the connection after an invalid response."""
         self._end(StreamOutcome.BROKEN)
         self.connection.abandon()
 
--- a/src/guavacleat/forwarding/timings.py
+++ b/src/guavacleat/forwarding/timings.py
@@ -20,7 +20,7 @@
         """Include a finished stream of ``tokens`` output tokens."""
         if timings.first_event_delay is None or tokens <= 0:
             return
-        seconds = timings.last_event_at - timings.arrived - timings.first_event_delay
+        seconds = timings.last_event_at - timings.arrived_at - timings.first_event_delay
         self.seconds_per_token += SMOOTHING_FACTOR * (seconds / tokens - self.seconds_per_token)
 
     def estimate_seconds(self, tokens: int) -> float:
@@ -36,19 +36,19 @@
     :param gap_event: id of the event after that pause.
     """
 
-    __slots__ = ("arrived", "first_event_delay", "last_event_at", "longest_gap", "gap_event")
+    __slots__ = ("arrived_at", "first_event_delay", "last_event_at", "longest_gap", "gap_event")
 
-    def __init__(self, arrived: float):
-        self.arrived = arrived
+    def __init__(self, arrived_at: float):
+        self.arrived_at = arrived_at
         self.first_event_delay: float | None = None
-        self.last_event_at = arrived
+        self.last_event_at = arrived_at
         self.longest_gap = 0.0
         self.gap_event: int | None = None
 
     def event_sent(self, now: float, id: int | None) -> None:
         """Record that an event was sent to the caller."""
         if self.first_event_delay is None:
-            self.first_event_delay = now - self.arrived
+            self.first_event_delay = now - self.arrived_at
         elif now - self.last_event_at > self.longest_gap:
             self.longest_gap = now - self.last_event_at
             self.gap_event = id
--- a/src/guavacleat/placement/choice.py
+++ b/src/guavacleat/placement/choice.py
@@ -8,8 +8,7 @@
 
 __all__ = ["Placement"]
 
-# Weight of an endpoint's failure rate, against its load per slot for plain requests and seconds of
-# waiting for generations.
+# Cost of a failure rate of 1: in load per slot for plain requests, in seconds for generations.
 FAILURE_WEIGHT = 4.0
 # Older failures are ignored, so that an endpoint that has recovered gets requests without a probe.
 FAILURE_WINDOW_SECONDS = 5.0
@@ -108,6 +107,7 @@
         )
 
     def _has_room(self, entry: EndpointEntry, expected: int, engine: EngineTraits) -> bool:
+        """Whether the engine may start a run; an idle one may, even if its memory is too small."""
         load = self.load.total(entry.id)
         if load.runs == 0:
             return True
@@ -118,9 +118,9 @@
         )
 
     def latest_start(self, request) -> float:
-        """Latest clock time at which an idle engine can meet the request's latency goal."""
+        """Latest clock time at which an idle engine can start the request and meet its goal."""
         prefill_seconds = request.prompt_tokens / PREFILL_TOKENS_PER_SECOND
-        return request.arrived + request.route.latency_goal - prefill_seconds
+        return request.arrived_at + request.route.latency_goal - prefill_seconds
 
     def choose_move_target(
         self, source: EndpointEntry, expected: int, engine: EngineTraits, exclude: set[str]
@@ -145,9 +145,9 @@
     def choose_backup_target(
         self, source: EndpointEntry, expected: int, engine: EngineTraits
     ) -> EndpointEntry | None:
-        """The engine for a backup of a run on ``source``; None if all need their memory.
+        """The engine for a backup of a run on ``source``; None if none has memory to spare.
 
-        A backup must not cause the engine to preempt its generations.
+        A backup must neither cause preemptions on its engine nor delay moves off leaving engines.
         """
         if self.registry.seconds_since_leaving(source.service) < BACKUP_HOLDOFF_SECONDS:
             return None
@@ -191,4 +191,4 @@
     def _failure_penalty(self, entry: EndpointEntry) -> float:
         health = self.load.health(entry.id)
         recent = self.load.clock.seconds() - health.failed_at < FAILURE_WINDOW_SECONDS
-        return FAILURE_WEIGHT * health.failures if recent else 0.0
+        return FAILURE_WEIGHT * health.failure_rate if recent else 0.0
--- a/src/guavacleat/placement/load.py
+++ b/src/guavacleat/placement/load.py
@@ -46,10 +46,10 @@
 class EndpointHealth:
     """Moving averages of one endpoint's failure rate and of its latency in seconds."""
 
-    __slots__ = ("failures", "latency", "failed_at")
+    __slots__ = ("failure_rate", "latency", "failed_at")
 
     def __init__(self):
-        self.failures = 0.0
+        self.failure_rate = 0.0
         self.latency = 0.0
         self.failed_at = float("-inf")
 
@@ -120,12 +120,12 @@
 
     def record_success(self, endpoint_id: str, latency: float) -> None:
         health = self.health(endpoint_id)
-        health.failures -= SMOOTHING * health.failures
+        health.failure_rate -= SMOOTHING * health.failure_rate
         health.latency += SMOOTHING * (latency - health.latency)
 
     def record_failure(self, endpoint_id: str) -> None:
         health = self.health(endpoint_id)
-        health.failures += SMOOTHING * (1 - health.failures)
+        health.failure_rate += SMOOTHING * (1 - health.failure_rate)
         health.failed_at = self.clock.seconds()
 
 
--- a/tests/admission/test_dispatcher.py
+++ b/tests/admission/test_dispatcher.py
@@ -1,4 +1,4 @@
-"""Tests of the dispatcher: order, expected waits, refusals and backfilling."""
+"""Tests of the dispatcher: order, expected waits, refusals and backbackfilled."""
 
 import pytest
 
@@ -80,10 +80,10 @@
 
 def test_abandoned_request_is_not_dispatched(dispatcher):
     """A request whose caller disconnected while it was queued must not reach an engine."""
-    running, left = make_request(), make_request()
+    running, queued = make_request(), make_request()
     dispatcher.acquire(running, LIMITS)
-    waiting = dispatcher.acquire(left, LIMITS)
-    left.caller_disconnected = True
+    waiting = dispatcher.acquire(queued, LIMITS)
+    queued.caller_disconnected = True
     dispatcher.release("e1", running)
     with pytest.raises(NotRunError):
         result_of(waiting)
@@ -106,10 +106,10 @@
     view.observe(endpoint_record("e1"))
     dispatcher = Dispatcher(clock, view, get_router_by_name("cache-load", clock))
     dispatcher.router.observe("e1", Occupancy(2, 24, 0, 9_500, 10_000))
-    tag = make_request(account="b", prompt="w " * 50, max_tokens=10)
+    short = make_request(account="b", prompt="w " * 50, max_tokens=10)
     head = dispatcher.acquire(make_request(account="a", prompt="w " * 1000), LIMITS_OPEN)
-    filling = dispatcher.acquire(tag, LIMITS_OPEN)
-    assert filling.called and not head.called
+    backfilled = dispatcher.acquire(short, LIMITS_OPEN)
+    assert backfilled.called and not head.called
 
 
 def test_expected_wait_depends_on_the_account(clock):
@@ -146,8 +146,10 @@
     dispatcher = Dispatcher(clock, view, get_router_by_name("cache-load", clock))
     dispatcher.router.observe("e1", Occupancy(8, 8, 0, 9_500, 10_000))
     dispatcher.acquire(make_request(account="a", prompt="w " * 1000), LIMITS_OPEN)
-    tags = [make_request(account=name, prompt="w " * 9, max_tokens=5) for name in ("b", "c")]
-    waiting = [dispatcher.acquire(tag, LIMITS_OPEN) for tag in tags]
+    short_requests = [
+        make_request(account=name, prompt="w " * 9, max_tokens=5) for name in ("b", "c")
+    ]
+    waiting = [dispatcher.acquire(short, LIMITS_OPEN) for short in short_requests]
     for deferred in waiting:
         deferred.addCallback(lambda _: dispatcher.dispatch_waiting("svc"))
     dispatcher.router.observe("e1", Occupancy(2, 8, 0, 9_500, 10_000))
--- a/tests/forwarding/harness.py
+++ b/tests/forwarding/harness.py
@@ -23,7 +23,7 @@
 
 
 class FakeWire(Wire):
-    """Wire format for tests: headers ``id``, ``sealed``, ``not-run``, ``resume`` and others."""
+    """Wire format for tests: one header per field, such as ``id`` and ``sealed`` (signed)."""
 
     def parse_request_metadata(self, headers):
         values = dict(headers)
