--- a/src/guavacleat/lengths.py
+++ b/src/guavacleat/lengths.py
@@ -16,7 +16,7 @@
 MAX_SAMPLES = 512
 SORT_INTERVAL = 16
 MIN_SAMPLES = 8
-# Estimate in tokens without enough samples.
+# Minimum estimate, in tokens, without enough samples.
 DEFAULT_LENGTH = 128
 # Quantile of the remaining lengths that is the estimate.
 QUANTILE = 0.5
@@ -53,7 +53,8 @@
     def remaining(self, kind: tuple, emitted: int, max_tokens: int) -> int:
         """Expected remaining tokens after ``emitted``, limited by ``max_tokens``.
 
-        With too few samples longer than ``emitted``, the total is expected to be twice ``emitted``.
+        With too few samples longer than ``emitted``, the generation is expected to produce as many
+        tokens again, at least ``DEFAULT_LENGTH``.
         """
         limit = max(0, max_tokens - emitted)
         lengths = self.lengths_by_kind.get(kind)
--- a/src/guavacleat/migration/evacuation.py
+++ b/src/guavacleat/migration/evacuation.py
@@ -64,7 +64,7 @@
             )
 
     def _stop_if_silent(self, session: StreamSession, former: EndpointEntry, events: int) -> None:
-        """Stop the attempt, unless new events show that it runs in the new process."""
+        """Stop an attempt that had events, unless new ones show that it runs in the new process."""
         if events and session.memory.events == events and self._runs_on(session, former):
             log_message(
                 message_type="stream:left-behind",
@@ -94,46 +94,46 @@
 
     async def _evacuate(self, entry: EndpointEntry) -> None:
         """Copy this gateway's streams from ``entry`` to other engines and hand them over."""
-        began = self.context.clock.seconds()
+        started_at = self.context.clock.seconds()
         log_message(
             message_type="move:began",
             endpoint=entry.id,
             streams=len(self._streams_on(entry)),
             unprotected=len(self._unprotected(entry)),
         )
-        handover_task = defer.Deferred.fromCoroutine(self._hand_over_all(entry, began))
+        handover_task = defer.Deferred.fromCoroutine(self._hand_over_all(entry, started_at))
         handover_task.addErrback(self._log_error)
         failed: set[StreamSession] = set()
-        while self._is_evacuating(entry, began):
-            session = self._choose_next(self._unprotected(entry), began, failed)
+        while self._is_evacuating(entry, started_at):
+            session = self._choose_next(self._unprotected(entry), started_at, failed)
             if session is None:
                 failed.clear()
                 await task.deferLater(self.context.clock, COPY_RETRY_SECONDS)
             elif not await self._copy_to_another_engine(session, entry):
                 failed.add(session)
 
-    async def _hand_over_all(self, entry: EndpointEntry, began: float) -> None:
+    async def _hand_over_all(self, entry: EndpointEntry, started_at: float) -> None:
         """Hand over streams one by one as their copies become ready."""
         failed: set[StreamSession] = set()
-        while self._is_evacuating(entry, began):
+        while self._is_evacuating(entry, started_at):
             protected = [
                 session for session in self._streams_on(entry) if session.memory.copy_usable()
             ]
-            session = self._choose_next(protected, began, failed)
+            session = self._choose_next(protected, started_at, failed)
             if session is None:
                 failed.clear()
                 await task.deferLater(self.context.clock, HANDOVER_POLL_SECONDS)
             elif not await session.hand_over():
                 failed.add(session)
 
-    def _is_evacuating(self, entry: EndpointEntry, began: float) -> bool:
-        return self.context.clock.seconds() - began < EVACUATION_SECONDS and bool(
+    def _is_evacuating(self, entry: EndpointEntry, started_at: float) -> bool:
+        return self.context.clock.seconds() - started_at < EVACUATION_SECONDS and bool(
             self._streams_on(entry)
         )
 
-    def _choose_next(self, sessions, began: float, failed: set) -> StreamSession | None:
+    def _choose_next(self, sessions, started_at: float, failed: set) -> StreamSession | None:
         """Return the stream with the highest value per copied token; None if there is none."""
-        late = self.context.clock.seconds() - began >= SHORT_RUN_DELAY_SECONDS
+        late = self.context.clock.seconds() - started_at >= SHORT_RUN_DELAY_SECONDS
         waiting = [
             session
             for session in sessions
@@ -159,12 +159,12 @@
             if target is None or not self._runs_on(session, entry):
                 return False
             tried.add(target.id)
-            began = self.context.clock.seconds()
+            started_at = self.context.clock.seconds()
             # Reserves the memory on the target before the copy is made.
             reservation = Run(f"move:{session.request.metadata.id}", expected)
             self.context.load.begin(target.id, reservation)
             response = await self._copy(session, entry, target)
-            self._log("move:copied", session, entry, target, response.status, began)
+            self._log("move:copied", session, entry, target, response.status, started_at)
             usable = (
                 response.copied
                 and self._runs_on(session, entry)
@@ -201,7 +201,7 @@
             return MoveResponse(0, None)
         return context.wire.decode_move(response.code, response.body)
 
-    def _log(self, message_type, session, source, target, status, began) -> None:
+    def _log(self, message_type, session, source, target, status, started_at) -> None:
         log_message(
             message_type=message_type,
             request=session.request.metadata.id,
@@ -209,7 +209,7 @@
             target=target.id,
             status=status,
             tokens=session.memory.tokens,
-            seconds=round(self.context.clock.seconds() - began, 3),
+            seconds=round(self.context.clock.seconds() - started_at, 3),
         )
 
 
--- a/src/guavacleat/retries/budget.py
+++ b/src/guavacleat/retries/budget.py
@@ -35,13 +35,13 @@
 class RetryBudget:
     """Counts requests and retries by service.
 
-    :param gateways: returns the number of gateways that share the budget.
+    :param gateway_count: returns the number of gateways that share the budget.
     """
 
-    def __init__(self, clock, bounds, gateways):
+    def __init__(self, clock, bounds, gateway_count):
         self.clock = clock
         self.bounds = bounds
-        self.gateways = gateways
+        self.gateway_count = gateway_count
         self.requests_by_service: dict[str, _Window] = {}
         self.retries_by_service: dict[str, _Window] = {}
 
@@ -58,7 +58,7 @@
         now = self.clock.seconds()
         requests = self._window(self.requests_by_service, service).count(now)
         retries = self._window(self.retries_by_service, service).count(now)
-        extra = self.bounds.retry_extra / max(1, self.gateways())
+        extra = self.bounds.retry_extra / max(1, self.gateway_count())
         return retries + 1 <= SAFETY_FACTOR * (self.bounds.retry_ratio * requests + extra)
 
     def _window(self, windows: dict[str, _Window], service: str) -> _Window:
--- a/src/guavacleat/routing/cache_map.py
+++ b/src/guavacleat/routing/cache_map.py
@@ -10,6 +10,7 @@
 __all__ = ["CacheMap", "TTL_SECONDS"]
 
 TTL_SECONDS = 30.0
+# Blocks kept per endpoint.
 MAX_BLOCKS = 4096
 
 
@@ -22,8 +23,8 @@
         self.last_event_by_endpoint: dict[str, int] = {}
         self.missed_events = 0
 
-    def record_sent(self, endpoint: str, blocks: list[str]) -> None:
-        """Record that a request with this prefix was sent to ``endpoint``."""
+    def mark_cached(self, endpoint: str, blocks: list[str]) -> None:
+        """Record blocks that the engine has cached, or will cache for a request sent to it."""
         last_seen = self.last_seen_by_endpoint.setdefault(endpoint, {})
         now = self.clock.seconds()
         for block in blocks:
@@ -39,7 +40,7 @@
             self.missed_events += event.number - last - 1
             last = event.number
             if event.stored:
-                self.record_sent(endpoint, [event.block])
+                self.mark_cached(endpoint, [event.block])
             else:
                 self.last_seen_by_endpoint.get(endpoint, {}).pop(event.block, None)
         self.last_event_by_endpoint[endpoint] = last
--- a/src/guavacleat/routing/poll.py
+++ b/src/guavacleat/routing/poll.py
@@ -1,4 +1,7 @@
-"""Polls endpoints for their digests, including those without streams of this gateway."""
+"""Polls endpoints for their digests: occupancy and recent cache events.
+
+Otherwise the router would only know the endpoints that run streams of this gateway.
+"""
 
 import contextlib
 import itertools
@@ -38,8 +41,10 @@
         """Poll the next endpoints, round-robin."""
         records = self.membership.all_live()
         count = min(ENDPOINTS_PER_ROUND, len(records))
-        turn = itertools.islice(itertools.cycle(records), self.next_index, self.next_index + count)
-        for record in list(turn):
+        next_records = itertools.islice(
+            itertools.cycle(records), self.next_index, self.next_index + count
+        )
+        for record in list(next_records):
             self._poll_endpoint(record)
         self.next_index = (self.next_index + count) % max(1, len(records))
         self.dispatcher.dispatch_all()
--- a/src/guavacleat/routing/router.py
+++ b/src/guavacleat/routing/router.py
@@ -37,7 +37,7 @@
     return blocks[min(HOME_KEY_BLOCKS, len(blocks)) - 1] if blocks else request.prompt
 
 
-def _rendezvous(key: str, endpoint: str) -> int:
+def _rendezvous_hash(key: str, endpoint: str) -> int:
     digest = hashlib.blake2b(f"{key}|{endpoint}".encode(), digest_size=8).digest()
     return int.from_bytes(digest, "big")
 
@@ -79,7 +79,7 @@
         self.avoid_until_by_name[name] = self.clock.seconds() + seconds
 
     def observe(self, name: str, occupancy, request=None) -> None:
-        """Receive an endpoint's occupancy; ``request`` is given if it has been started there."""
+        """Receive a report of slots and memory in use; ``request`` is given if it started there."""
 
     def observe_cache(self, name: str, events) -> None:
         """Receive cache events of an endpoint."""
@@ -98,7 +98,7 @@
 
     def __init__(self, clock: IReactorTime):
         super().__init__(clock)
-        self.numbers = itertools.count(1)
+        self.sequence_numbers = itertools.count(1)
         self.last_turn_by_name: dict[str, int] = {}
 
     def rank(self, name, request):
@@ -106,7 +106,7 @@
 
     def begin(self, name, request=None):
         super().begin(name, request)
-        self.last_turn_by_name[name] = next(self.numbers)
+        self.last_turn_by_name[name] = next(self.sequence_numbers)
 
 
 class LeastLoadedRouter(Router):
@@ -114,7 +114,7 @@
 
     def rank(self, name, request):
         key = request.blocks()[0] if request.blocks() else request.prompt
-        return self.in_flight_by_name.get(name, 0), -_rendezvous(key, name)
+        return self.in_flight_by_name.get(name, 0), -_rendezvous_hash(key, name)
 
 
 class CacheLoadRouter(Router):
@@ -130,21 +130,22 @@
     def __init__(self, clock: IReactorTime):
         super().__init__(clock)
         self.cache = CacheMap(clock)
-        self.home: str | None = None
+        self.home_endpoint: str | None = None
         self.occupancy_by_name: dict[str, object] = {}
+        # Prompt tokens of requests sent but not started yet, by endpoint and request id.
         self.starting_by_name: dict[str, dict[str, int]] = {}
 
     def choose(self, candidates, request, limit, excluded=()):
         key = _prefix_key(request)
         names = (record.name for record in candidates if record.name not in excluded)
-        self.home = max(names, key=lambda name: _rendezvous(key, name), default=None)
+        self.home_endpoint = max(names, key=lambda name: _rendezvous_hash(key, name), default=None)
         return super().choose(candidates, request, limit, excluded)
 
     def begin(self, name, request=None):
         super().begin(name, request)
         if request is not None:
             self.starting_by_name.setdefault(name, {})[request.request_id] = request.prompt_tokens
-            self.cache.record_sent(name, request.blocks())
+            self.cache.mark_cached(name, request.blocks())
 
     def end(self, name, request=None):
         super().end(name, request)
@@ -171,7 +172,7 @@
             return True
         if streams >= occupancy.slots:
             return False
-        # Until memory use peaks, the request grows by at most its expected output.
+        # The request grows by one token per decode step until it ends or memory use peaks.
         output = self.lengths.remaining(request.kind(), 0, request.max_tokens)
         growth = min(output, occupancy.peak_in or 0)
         expected = occupancy.peak + sum(starting.values()) + request.prompt_tokens + growth
@@ -181,15 +182,15 @@
     def rank(self, name, request):
         starting = sum(self.starting_by_name.get(name, {}).values())
         cached = self.cache.cached_blocks(name, request.blocks()) * BLOCK_TOKENS
-        to_read = starting + request.prompt_tokens - cached
-        if name == self.home:
-            to_read -= HOME_BONUS_TOKENS
+        prefill_tokens = starting + request.prompt_tokens - cached
+        if name == self.home_endpoint:
+            prefill_tokens -= HOME_BONUS_TOKENS
         memory = 0.0
         occupancy = self.occupancy_by_name.get(name)
         if occupancy is not None and occupancy.capacity:
-            to_read += occupancy.to_read or 0
+            prefill_tokens += occupancy.to_read or 0
             memory = occupancy.peak / occupancy.capacity
-        return to_read, memory, self.in_flight_by_name.get(name, 0)
+        return prefill_tokens, memory, self.in_flight_by_name.get(name, 0)
 
 
 ROUTERS_BY_NAME = {
--- a/tests/migration/test_evacuation.py
+++ b/tests/migration/test_evacuation.py
@@ -107,7 +107,7 @@
         calls.answer(index, 200, f"h{index}")
     for _, _, connection in found:
         send_events(harness, connection, 31)
-    assert len(harness.pool.connections) == 4, "one is asked for at a time"
+    assert len(harness.pool.connections) == 4, "one handover runs at a time"
     for number, id in enumerate([b"r2", b"r1", b"r0"], start=3):
         assert len(harness.pool.connections) == number + 1
         second_connection = harness.pool.connections[number]
--- a/tests/routing/test_router.py
+++ b/tests/routing/test_router.py
@@ -82,14 +82,14 @@
 ]
 
 
-@pytest.mark.parametrize("events,later,believed", CACHE_FAULTS)
-def test_cache_map_with_late_and_missing_events(clock, events, later, believed):
+@pytest.mark.parametrize("events,elapsed,expected_blocks", CACHE_FAULTS)
+def test_cache_map_with_late_and_missing_events(clock, events, elapsed, expected_blocks):
     """A block whose eviction event was lost must not stay in the map."""
     blocks = prefix_blocks(PROMPT.split())
     cache = CacheMap(clock)
     cache.observe("a", [event(e.number, blocks[e.block], e.stored) for e in events])
-    clock.advance(later)
-    assert cache.cached_blocks("a", blocks) == believed
+    clock.advance(elapsed)
+    assert cache.cached_blocks("a", blocks) == expected_blocks
 
 
 def test_prompts_share_the_blocks_of_their_common_prefix():
