--- a/src/guavacleat/forwarding/attempt_opener.py
+++ b/src/guavacleat/forwarding/attempt_opener.py
@@ -73,7 +73,7 @@
         if outcome is StreamOutcome.BROKEN:
             # It may have crashed, so placement avoids it for a few seconds.
             self.context.load.record_failure(attempt.entry.id)
-        if attempt.disconnected:
+        if attempt.endpoint_disconnected:
             self.context.quarantine.request_interrupted(
                 self.request, attempt.entry.id, attempt.sent_at
             )
--- a/src/guavacleat/forwarding/plain.py
+++ b/src/guavacleat/forwarding/plain.py
@@ -171,7 +171,7 @@
     def _report_to_quarantine(self, request, entry, outcome, response, started_at: float) -> None:
         """Report to the quarantine whether the endpoint survived the request."""
         quarantine = self.context.quarantine
-        if response.disconnected:
+        if response.endpoint_disconnected:
             quarantine.request_interrupted(request, entry.id, started_at)
         elif outcome is AttemptOutcome.ANSWERED or (
             outcome is AttemptOutcome.STREAMED and not request.exchange.aborted
--- a/src/guavacleat/forwarding/refusals.py
+++ b/src/guavacleat/forwarding/refusals.py
@@ -8,7 +8,7 @@
 class RefusalReason(enum.Enum):
     """Why the gateway refuses or fails a request; the value holds the HTTP status.
 
-    429 and 503 guarantee that the request was not executed; 502 and 504 guarantee nothing.
+    401, 404 and 503 guarantee that the request was not executed; 502 and 504 guarantee nothing.
     """
 
     UNKNOWN_ROUTE = 404
--- a/src/guavacleat/forwarding/response.py
+++ b/src/guavacleat/forwarding/response.py
@@ -72,8 +72,8 @@
 class CheckedResponse(ResponseListener):
     """Fires ``done`` with an :class:`AttemptOutcome`; ``head`` and ``body`` hold the response.
 
-    ``disconnected`` tells whether the endpoint closed the connection before the response was
-    complete. ``connection`` must be set before the request is sent, for backpressure.
+    ``endpoint_disconnected`` tells whether the endpoint closed the connection before the response
+    was complete. ``connection`` must be set before the request is sent, for backpressure.
     """
 
     def __init__(self, caller: CallerExchange, request_id: str, wire):
@@ -87,7 +87,7 @@
         self.chunks: list[bytes] = []
         self.size = 0
         self.streaming = False
-        self.disconnected = False
+        self.endpoint_disconnected = False
 
     @property
     def body(self) -> bytes:
@@ -134,7 +134,7 @@
         self._finish(OUTCOMES_BY_CHECK.get(self.check, AttemptOutcome.ANSWERED))
 
     def response_failed(self, reason: ResponseFailure):
-        self.disconnected = reason.closed_by_endpoint
+        self.endpoint_disconnected = reason.closed_by_endpoint
         if self.streaming:
             self.caller.abort()
         if self.check in (ResponseCheck.NOT_RUN, ResponseCheck.WRONG_INCARNATION):
--- a/src/guavacleat/forwarding/session.py
+++ b/src/guavacleat/forwarding/session.py
@@ -52,7 +52,7 @@
         # Set while the request waits in the admission queue.
         self.pending_placement: defer.Deferred | None = None
         self.cancelled = False
-        self.cut = False
+        self.aborted = False
         self.completed = False
 
     @property
@@ -90,7 +90,7 @@
         An engine frees a backup by itself when the run completes.
         """
         copy = self.memory.copy
-        completed_normally = self.request.exchange.ended and not self.cut and not self.cancelled
+        completed_normally = self.request.exchange.ended and not self.aborted and not self.cancelled
         self.memory.drop_copy()
         if copy is not None and not (copy.backup and completed_normally):
             freeing = free_copy(self.context, copy.source.address, copy.handle)
@@ -268,10 +268,10 @@
             return
         if not self.request.exchange.head_sent:
             raise RefusalError(RefusalReason.BROKEN)
-        self._cut()
+        self._abort()
 
-    def _cut(self) -> None:
-        self.cut = True
+    def _abort(self) -> None:
+        self.aborted = True
         self.request.exchange.abort()
 
     def _deadline_expired(self) -> None:
@@ -279,7 +279,7 @@
             return
         self._log("stream:expired")
         if self.request.exchange.head_sent:
-            self._cut()
+            self._abort()
         else:
             headers = self.context.wire.refusal_headers(self.request.metadata.id, None)
             self.request.exchange.respond(RefusalReason.EXPIRED.status, headers, b"")
--- a/src/guavacleat/forwarding/stream_attempt.py
+++ b/src/guavacleat/forwarding/stream_attempt.py
@@ -58,7 +58,7 @@
         self.failure_body: list[bytes] = []
         self.ended = False
         # Whether the endpoint closed the connection before the response was complete.
-        self.disconnected = False
+        self.endpoint_disconnected = False
 
     @property
     def streaming(self) -> bool:
@@ -112,7 +112,7 @@
             )
 
     def response_failed(self, reason: ResponseFailure):
-        self.disconnected = reason.closed_by_endpoint and not self.ended
+        self.endpoint_disconnected = reason.closed_by_endpoint and not self.ended
         self._end(REFUSAL_OUTCOMES.get(self.check, StreamOutcome.BROKEN))
 
     def _end(self, outcome: StreamOutcome) -> None:
--- a/tests/forwarding/test_session.py
+++ b/tests/forwarding/test_session.py
@@ -72,14 +72,14 @@
     assert encode_event(5) not in caller.data
 
 
-def test_stream_without_copy_is_cut_when_its_engine_fails(harness):
+def test_stream_without_copy_is_aborted_when_its_engine_fails(harness):
     _, caller, connection = start_running_stream(harness)
     connection.break_connection()
     assert caller.aborted and not caller.complete
     assert len(harness.pool.connections) == 1
 
 
-def test_stream_with_a_truncated_last_event_is_cut(harness):
+def test_stream_with_a_truncated_last_event_is_aborted(harness):
     _, caller, connection = start_running_stream(harness)
     connection.send_body(b"id: 4\ndata: half")
     connection.end()
@@ -126,7 +126,7 @@
     assert harness.load.runs_by_endpoint == {}
 
 
-def test_stream_is_cut_at_its_deadline(harness):
+def test_stream_is_aborted_at_its_deadline(harness):
     _, caller, connection = start_running_stream(harness)
     harness.clock.advance(39.0)
     assert connection.abandoned and caller.aborted
@@ -138,7 +138,7 @@
     assert caller.head[0] == 504 and caller.complete
 
 
-def test_stream_is_cut_if_its_copy_no_longer_exists(harness):
+def test_stream_is_aborted_if_its_copy_no_longer_exists(harness):
     session, caller, connection = start_running_stream(harness)
     session.memory.set_copy(RunCopy(make_entry("e2"), make_entry("e2"), "h1"))
     connection.break_connection()
@@ -146,7 +146,7 @@
     assert caller.aborted and not caller.complete
 
 
-def test_stream_is_cut_if_its_backup_refuses_to_resume(clock):
+def test_stream_is_aborted_if_its_backup_refuses_to_resume(clock):
     """Guards against resuming on a third engine, or on one that has just crashed."""
     engine = EngineTraits(24, 30000, 163840, 24000.0, 4, moves=True, backups=True)
     harness = ForwardingHarness(clock, engine=engine)
--- a/tests/migration/test_evacuation.py
+++ b/tests/migration/test_evacuation.py
@@ -294,7 +294,7 @@
     assert not connection.abandoned and not caller.aborted
 
 
-def test_stream_on_a_restarted_engine_is_cut_without_a_copy(dated_harness, clock, calls):
+def test_stream_on_a_restarted_engine_is_aborted_without_a_copy(dated_harness, clock, calls):
     _, found = start_streams(dated_harness, 1)
     _, caller, connection = found[0]
     restart_endpoint(
