--- a/src/guavacleat/http1/calls.py
+++ b/src/guavacleat/http1/calls.py
@@ -25,7 +25,7 @@
 
 
 class ResponseTooLargeError(CallBrokenError):
-    """The response body is larger than ``max_body_bytes``; the rest was not read."""
+    """The response body is larger than ``max_body_bytes``; the connection was closed."""
 
 
 class Response:
--- a/src/guavacleat/http1/client.py
+++ b/src/guavacleat/http1/client.py
@@ -122,7 +122,7 @@
         if event is h11.NEED_DATA or event is h11.PAUSED:
             return False
         if isinstance(event, h11.Response):
-            self._note_keep_alive(event)
+            self._read_keep_alive(event)
             head = ResponseHead(event.status_code, event.reason, list(event.headers))
             self.listener.response_started(head)
         elif isinstance(event, h11.Data):
@@ -149,7 +149,7 @@
             self.transport.abortConnection()
         listener.response_completed()
 
-    def _note_keep_alive(self, response: h11.Response) -> None:
+    def _read_keep_alive(self, response: h11.Response) -> None:
         values = [value for name, value in response.headers if name == b"keep-alive"]
         for part in b",".join(values).split(b","):
             name, _, seconds = part.strip().partition(b"=")
--- a/src/guavacleat/http1/server.py
+++ b/src/guavacleat/http1/server.py
@@ -187,7 +187,7 @@
         self.listener.handle(exchange)
 
     def _reject(self, status: int) -> None:
-        """Respond to an invalid request and close, since the next request's start is unknown."""
+        """Send an error response and close, since the start of the next request is unknown."""
         self.listener.on_rejected(status)
         if self.parser.our_state in (h11.IDLE, h11.SEND_RESPONSE):
             headers = [(b"content-length", b"0"), (b"connection", b"close")]
--- a/tests/http1/test_calls.py
+++ b/tests/http1/test_calls.py
@@ -8,8 +8,8 @@
 from guavacleat.http1.client import EndpointConnection
 from tests.conftest import result_of
 
-TIMEOUT = 3.0
-READ_TIMEOUT = 0.8
+TIMEOUT_SECONDS = 3.0
+READ_TIMEOUT_SECONDS = 0.8
 MAX_BODY_BYTES = 100
 
 
@@ -29,17 +29,26 @@
     """A call in progress: its connection and its Deferred result."""
     pool = FakePool()
     coroutine = call(
-        clock, pool, ("e", 80), b"GET", b"/", [], b"", TIMEOUT, READ_TIMEOUT, MAX_BODY_BYTES
+        clock,
+        pool,
+        ("e", 80),
+        b"GET",
+        b"/",
+        [],
+        b"",
+        TIMEOUT_SECONDS,
+        READ_TIMEOUT_SECONDS,
+        MAX_BODY_BYTES,
     )
     return pool.connection, defer.Deferred.fromCoroutine(coroutine)
 
 
 def test_read_timeout_does_not_limit_the_total_time(pending_call, clock):
     connection, result = pending_call
-    clock.advance(TIMEOUT - 0.1)
+    clock.advance(TIMEOUT_SECONDS - 0.1)
     connection.dataReceived(b"HTTP/1.1 200 OK\r\ncontent-length: 20\r\n\r\n")
     for _ in range(20):
-        clock.advance(READ_TIMEOUT - 0.1)
+        clock.advance(READ_TIMEOUT_SECONDS - 0.1)
         connection.dataReceived(b"x")
     assert result_of(result).body == b"x" * 20
 
@@ -49,7 +58,7 @@
     connection, result = pending_call
     if first:
         connection.dataReceived(first)
-    clock.advance(READ_TIMEOUT if first else TIMEOUT)
+    clock.advance(READ_TIMEOUT_SECONDS if first else TIMEOUT_SECONDS)
     with pytest.raises(CallBrokenError, match="3 bytes" if first else "0 bytes"):
         result_of(result)
     assert not connection.open
--- a/tests/http1/test_client.py
+++ b/tests/http1/test_client.py
@@ -62,7 +62,7 @@
     assert harness.connection.keep_alive_seconds == 5.0
 
 
-BROKEN = [
+CLOSE_CASES = [
     # (data, exception with which the connection is lost, the listener's last outcome)
     (b"HTTP/1.1 200 OK\r\ncontent-length: 5\r\n\r\nhi", ConnectionDone, ResponseFailure.CLOSED),
     (b"HTTP/1.1 200 OK\r\ncontent-length: 5\r\n\r\nhi", ConnectionLost, ResponseFailure.RESET),
@@ -75,7 +75,7 @@
 ]  # fmt: skip
 
 
-@pytest.mark.parametrize("data,kind,last", BROKEN)
+@pytest.mark.parametrize("data,kind,last", CLOSE_CASES)
 def test_truncated_response_is_not_reported_as_complete(harness, data, kind, last):
     """A response without a length is complete only after a clean close."""
     listener = harness.send_request()
--- a/tests/http1/test_server.py
+++ b/tests/http1/test_server.py
@@ -20,9 +20,9 @@
     def __init__(self, clock):
         self.clock = clock
         self.exchanges = []
-        self.rejected = []
+        self.rejected_statuses = []
         self.listener = CallerListener(
-            clock, self.exchanges.append, lambda: LIMITS, self.rejected.append
+            clock, self.exchanges.append, lambda: LIMITS, self.rejected_statuses.append
         )
         self.connection = self.listener.buildProtocol(None)
         self.transport = StringTransport()
@@ -83,21 +83,21 @@
     """Guards against request smuggling: data after such a request must not be parsed."""
     caller.send(request_bytes + b"GET /smuggled HTTP/1.1\r\nhost: h\r\n\r\n")
     assert caller.exchanges == []
-    assert 400 <= caller.rejected[0] < 502
+    assert 400 <= caller.rejected_statuses[0] < 502
     assert caller.closed
 
 
 def test_header_and_body_limits_have_their_own_status(clock):
     large_header = Caller(clock)
     large_header.send(b"GET /a HTTP/1.1\r\nhost: h\r\nx: " + b"y" * 3000 + b"\r\n\r\n")
-    assert large_header.rejected == [431]
+    assert large_header.rejected_statuses == [431]
     large_body = Caller(clock)
     large_body.send(b"POST /a HTTP/1.1\r\nhost: h\r\ncontent-length: 101\r\n\r\n")
-    assert large_body.rejected == [413]
+    assert large_body.rejected_statuses == [413]
     chunked_body = Caller(clock)
     chunked_body.send(b"POST /a HTTP/1.1\r\nhost: h\r\ntransfer-encoding: chunked\r\n\r\n")
     chunked_body.send(b"65\r\n" + b"x" * 101 + b"\r\n")
-    assert chunked_body.rejected == [413]
+    assert chunked_body.rejected_statuses == [413]
 
 
 def test_slow_request_head_times_out(caller, clock):
@@ -105,7 +105,7 @@
     clock.advance(2.0)
     caller.send(b"host: h\r\n")
     clock.advance(1.1)
-    assert caller.rejected == [408]
+    assert caller.rejected_statuses == [408]
 
 
 def test_idle_timeout_spares_a_connection_with_a_request_in_progress(clock):
