--- a/src/guavacleat/platform/adapter.py
+++ b/src/guavacleat/platform/adapter.py
@@ -8,7 +8,11 @@
 
 
 class PlatformAdapter:
-    """See :class:`~guavacleat.ingress.service.IngressService` for each attribute."""
+    """The attributes are described where they are used.
+
+    See :class:`~guavacleat.ingress.sources.StoreSource` and
+    :class:`~guavacleat.ingress.service.IngressService`.
+    """
 
     config_kind = CONFIG_KIND
     config_name = CONFIG_NAME
--- a/src/guavacleat/platform/decode.py
+++ b/src/guavacleat/platform/decode.py
@@ -32,7 +32,8 @@
 def decode_configuration(spec: dict) -> RouteTable:
     """Decode a version of the configuration.
 
-    Raises KeyError, ValueError, TypeError or AttributeError if it is invalid.
+    Raises KeyError, ValueError, TypeError or AttributeError if it is invalid. Values are checked
+    here, because every request uses the table.
     """
     tenants = spec.get("tenants") or []
     return RouteTable(
@@ -70,8 +71,8 @@
 def _version(value) -> int:
     """Check a configuration's version; a float is accepted only up to MAX_EXACT_FLOAT_INTEGER.
 
-    A larger float may be higher than the intended version, and gateways that applied it would
-    then ignore later versions.
+    A larger float may have been rounded up from the intended version, and gateways that applied it
+    would then ignore later versions.
     """
     version = _integer(value)
     if isinstance(value, float) and abs(value) > MAX_EXACT_FLOAT_INTEGER:
@@ -109,7 +110,7 @@
         backends=tuple(
             Backend(_string(backend["service"]), _number(backend["weight"])) for backend in backends
         ),
-        # Requests of an unknown kind are never retried.
+        # Unknown kinds are treated as the strictest one: requests run at most once.
         kind=KINDS_BY_NAME.get(_string(_get(item, "kind", "")), RequestKind.NON_IDEMPOTENT),
         timeout=_number(item["timeoutMs"]) / MS_PER_SECOND,
         latency_goal=_number(_get(item, "latencyGoalMs", item["timeoutMs"])) / MS_PER_SECOND,
--- a/src/guavacleat/platform/engines.py
+++ b/src/guavacleat/platform/engines.py
@@ -1,4 +1,4 @@
-"""Control calls to an engine: copying a generation's memory, freeing a copy and status."""
+"""Control calls to an engine: copying a generation's KV cache, freeing a copy and status."""
 
 import json
 
@@ -16,27 +16,27 @@
 
 
 def encode_move(request_id: str, target: tuple[str, int]):
-    """Return method, target, headers and body of the call that copies a run's memory to ``target``.
+    """Return method, path, headers and body of the call that copies a KV cache to ``target``.
 
-    The run continues during the copy: ``last``, which would stop it first, is false.
+    The generation continues during the copy: ``last``, which would stop it first, is false.
     """
     body = {"id": request_id, "target": format_address(target), "last": False}
     return b"POST", MOVE_PATH, JSON_HEADERS, json.dumps(body).encode()
 
 
 def free_copy_path(handle: str) -> bytes:
-    """Target of the DELETE request that frees a copy, sent to its source."""
+    """Path of the DELETE request that frees a copy, sent to the copy's source."""
     return f"/-/kv-handle/{handle}".encode()
 
 
 def decode_move(status: int, body: bytes) -> MoveResponse:
-    """Decode the response; an invalid body yields no handle."""
+    """Decode the response; the handle is None if the body is invalid."""
     handle = _fields(body).get("handle")
     return MoveResponse(status, None if handle is None else str(handle))
 
 
 def decode_status(status: int, body: bytes) -> EndpointStatus:
-    """Decode an engine's status report; an invalid one yields the default status."""
+    """Decode an engine's status report; an error or invalid body yields the default status."""
     fields = _fields(body)
     if status != OK:
         return EndpointStatus()
--- a/src/guavacleat/platform/headers.py
+++ b/src/guavacleat/platform/headers.py
@@ -32,7 +32,7 @@
 LENGTH_HINT = b"length-hint"
 RETRY_AFTER = b"retry-after"
 MS_PER_SECOND = 1000
-# Headers that only the gateway may set; those from callers are dropped.
+# Callers' headers that are not forwarded: credentials, and those that only the gateway may send.
 RESERVED_HEADERS = {KEY, ACCOUNT, PRIORITY, DEADLINE, b"hold", b"pin-ms"}
 RESERVED_PREFIXES = (b"kv-", b"expect-")
 
--- a/src/guavacleat/platform/objects.py
+++ b/src/guavacleat/platform/objects.py
@@ -45,7 +45,7 @@
         )
 
     def conflicting_version(self, body: dict) -> int:
-        """The current version from a conflict response, which contains the stored object."""
+        """The stored object's version, from the response to a conflicting write."""
         body = body.get("object", body)
         return (body.get("metadata") or {}).get("revision", MUST_NOT_EXIST)
 
--- a/src/guavacleat/platform/settings.py
+++ b/src/guavacleat/platform/settings.py
@@ -1,4 +1,4 @@
-"""The platform's settings file of a process, with lines of ``dotted.key=value``."""
+"""Reads the settings file that the platform writes for each process: ``dotted.key=value`` lines."""
 
 import os
 
--- a/tests/platform/store_standin.py
+++ b/tests/platform/store_standin.py
@@ -22,7 +22,7 @@
 
 
 class StoreStandin:
-    """HTTP client like treq, with the store behind it.
+    """The store and an HTTP client for it, with the part of treq's interface that is used.
 
     :ivar fault: fault of the next calls: ``None``, ``"busy"`` (429), ``"down"`` (503), ``"lost"``
         (applied, but no response), ``"silent"`` (not applied, no response), ``"garbled"``, or
@@ -80,15 +80,15 @@
         self.objects = {tuple(key): value for key, value in json.loads(objects)}
         self.history = [change for change in self.history if change[0] <= self.revision]
         pending_watches, self.pending_watches = self.pending_watches, []
-        for _, _, response in pending_watches:
-            response.errback(ConnectionError("cut off"))
+        for _, _, waiter in pending_watches:
+            waiter.errback(ConnectionError("cut off"))
 
     def _record_change(self, kind, name, deleted):
         event = {"object": json.loads(json.dumps(self.objects[kind, name])), "tombstone": deleted}
         self.history.append((self.revision, kind, event))
         pending_watches, self.pending_watches = self.pending_watches, []
-        for kind, since, response in pending_watches:
-            response.callback(self._changes(kind, since))
+        for kind, since, waiter in pending_watches:
+            waiter.callback(self._changes(kind, since))
 
     def request(self, method, url, data=None, timeout=None, max_body_bytes=None):
         del max_body_bytes
@@ -160,7 +160,7 @@
 
     def _list(self, kind, after):
         names = sorted(
-            name for event_kind, name in self.objects if event_kind == kind and name > after
+            name for object_kind, name in self.objects if object_kind == kind and name > after
         )
         items = [self.objects[kind, name] for name in names[:PAGE_SIZE]]
         more = len(names) > PAGE_SIZE
--- a/tests/platform/test_decode.py
+++ b/tests/platform/test_decode.py
@@ -64,7 +64,7 @@
 
 
 def test_float_version_must_be_exact():
-    """A float above 2**53 - 1 may be higher than the intended version and block later ones."""
+    """A float above 2**53 - 1 may have been rounded up, which would block later versions."""
     for version in (7.0, float(2**53 - 1), 2**53 + 1):
         assert decode_configuration({**CONFIGURATION, "version": version}).version == version
     for version in (float(2**53), 1e300, 7.5, math.inf, True, "7", None):
@@ -103,7 +103,7 @@
     assert decode_configuration(CONFIGURATION).requires_key
 
 
-def test_endpoint_states():
+def test_endpoint_state_is_decoded():
     spec = {"service": "a", "address": "10.1.2.3:80", "zone": "z", "slots": 24, "state": "ready"}
     assert decode_endpoint("i-1", spec, 1).state is EndpointState.READY
     assert decode_endpoint("i-1", spec, 1).address == ("10.1.2.3", 80)
@@ -254,10 +254,10 @@
     decode_move(status, body)
 
 
-ODD_NUMBERS = [b"inf", b"-inf", b"nan", b"1e400", b"9" * 40, b"-7", b"", b"x", b"1e30"]
+EXTREME_NUMBERS = [b"inf", b"-inf", b"nan", b"1e400", b"9" * 40, b"-7", b"", b"x", b"1e30"]
 
 
-@pytest.mark.parametrize("number", ODD_NUMBERS)
+@pytest.mark.parametrize("number", EXTREME_NUMBERS)
 @pytest.mark.parametrize("name", [b"token-usage", b"length-hint", b"deadline-ms", b"prompt-prefix"])
 def test_extreme_numbers_of_callers_do_not_break_peer_reports(name, number):
     """Guards against load totals that overflow the fields of a report and stop all reports."""
--- a/tests/platform/test_fuzz.py
+++ b/tests/platform/test_fuzz.py
@@ -75,7 +75,7 @@
 
 @example([{**CONFIGURATION, "version": None}])
 @example([{**CONFIGURATION, "version": "8"}])
-# A version written as a float, which is higher than the version that follows.
+# A version written as a float with an integral value is accepted.
 @example([{**CONFIGURATION, "version": 1099511627777.0}])
 @given(st.lists(corrupted(CONFIGURATION) | JSON, max_size=5))
 def test_valid_configuration_is_applied_after_invalid_ones(specs):
--- a/tests/platform/test_store.py
+++ b/tests/platform/test_store.py
@@ -1,4 +1,4 @@
-"""Contract of the platform's store with the store client and the watch loop."""
+"""The store client and the watch loop against a stand-in of the platform's store."""
 
 import itertools
 
@@ -83,7 +83,7 @@
     assert (("gateways", "g1") in standin.objects) is took_effect
 
 
-def test_slow_response_within_the_call_timeout(client, standin, clock):
+def test_slow_response_within_the_call_timeout_is_accepted(client, standin, clock):
     standin.fault, standin.delay = "slow", 0.9 * CALL_TIMEOUT_SECONDS
     written = client.put("gateways", "g1", {"a": 1}, MUST_NOT_EXIST)
     clock.advance(standin.delay)
@@ -102,7 +102,7 @@
         result_of(client.put("gateways", "g1", {"a": 1}, MUST_NOT_EXIST))
 
 
-def test_watch_loop_with_a_slow_store(client, standin, clock):
+def test_slow_store_is_not_reported_as_unavailable(client, standin, clock):
     standin.fault, standin.delay = "slow", 0.5 * CALL_TIMEOUT_SECONDS
     standin.write("servers", "e1", {"state": "ready"})
     watched = WatchedObjects(clock, client)
