--- a/src/guavacleat/metrics/streams.py
+++ b/src/guavacleat/metrics/streams.py
@@ -1,8 +1,7 @@
 """Latency and outcome metrics of streams, per client account and priority class.
 
-Each value is recorded twice: in aioprometheus histograms and counters, which ``/metrics`` exports,
-and in HDR histograms (in microseconds), from which status reports and the load tool compute
-percentiles.
+``/metrics`` exports aioprometheus histograms and counters. Latencies are recorded in HDR histograms
+(in microseconds) as well, from which status reports and the load tool compute percentiles.
 """
 
 from aioprometheus import Counter, Histogram, Registry
@@ -15,12 +14,12 @@
 MAX_RECORDED_US = 600_000_000
 SIGNIFICANT_DIGITS = 2
 PERCENTILES = (50, 95, 99)
-TTFT_BUCKETS = (0.05, 0.1, 0.2, 0.4, 0.8, 1.6, 3.2, 6.4)
+TTFT_BUCKETS_SECONDS = (0.05, 0.1, 0.2, 0.4, 0.8, 1.6, 3.2, 6.4)
 # Accounts with their own time series; all others share one, which bounds the memory of the gateway
 # and of the scraper.
 MAX_ACCOUNTS = 100
 OTHER_ACCOUNTS = "other"
-GAP_BUCKETS = (0.005, 0.01, 0.02, 0.033, 0.05, 0.1, 0.2, 0.5, 1.0)
+GAP_BUCKETS_SECONDS = (0.005, 0.01, 0.02, 0.033, 0.05, 0.1, 0.2, 0.5, 1.0)
 
 
 class LatencyHistograms:
@@ -64,13 +63,13 @@
             "guavacleat_time_to_first_token_seconds",
             "Time from a request's arrival to its first token reaching the caller.",
             registry=self.registry,
-            buckets=TTFT_BUCKETS,
+            buckets=TTFT_BUCKETS_SECONDS,
         )
         self.gap = Histogram(
             "guavacleat_inter_token_seconds",
             "Time between consecutive tokens sent to a caller.",
             registry=self.registry,
-            buckets=GAP_BUCKETS,
+            buckets=GAP_BUCKETS_SECONDS,
         )
         self.outcomes = Counter(
             "guavacleat_requests_total",
--- a/src/guavacleat/treq_http.py
+++ b/src/guavacleat/treq_http.py
@@ -51,7 +51,7 @@
 
 
 class BoundedResponse:
-    """A response whose head has been received; ``content()`` fires with its body."""
+    """A response whose head has been received; ``content()`` reads the body with a read timeout."""
 
     def __init__(self, response, clock, read_timeout: float):
         self.code = response.code
