--- a/benchmarks/control_cost.py
+++ b/benchmarks/control_cost.py
@@ -135,7 +135,7 @@
 
 
 def digest_bytes() -> int:
-    """Return the encoded size of a digest with ``EVENTS`` cache events."""
+    """Return the encoded size of a digest with ``DIGEST_EVENTS`` cache events."""
     events = [CacheEvent(n, True, "0123456789abcdef") for n in range(DIGEST_EVENTS)]
     buffer = TTransport.TMemoryBuffer()
     Digest(LOW_OCCUPANCY, events).write(TBinaryProtocol.TBinaryProtocol(buffer))
--- a/benchmarks/control_traffic.py
+++ b/benchmarks/control_traffic.py
@@ -26,8 +26,8 @@
 
 SIZES = (10, 100, 300)
 SECONDS = 8.0
-WARM_UP = 3.0
-TICKS = os.sysconf("SC_CLK_TCK")
+WARM_UP_SECONDS = 3.0
+TICKS_PER_SECOND = os.sysconf("SC_CLK_TCK")
 
 
 def record(n: int) -> EndpointRecord:
@@ -45,7 +45,7 @@
 def cpu_seconds(pid: int) -> float:
     with open(f"/proc/{pid}/stat", encoding="ascii") as file:
         fields = file.read().rsplit(")", 1)[1].split()
-    return (int(fields[11]) + int(fields[12])) / TICKS
+    return (int(fields[11]) + int(fields[12])) / TICKS_PER_SECOND
 
 
 def memory_mb(pid: int) -> float:
@@ -69,7 +69,7 @@
         text=True,
     )
     try:
-        yield task.deferLater(reactor, WARM_UP)
+        yield task.deferLater(reactor, WARM_UP_SECONDS)
         address = gateway.stdout.readline().split()[-1]
         before, cpu = (yield status(address)), cpu_seconds(gateway.pid)
         yield task.deferLater(reactor, SECONDS)
--- a/src/guavacleat/checks/history.py
+++ b/src/guavacleat/checks/history.py
@@ -65,10 +65,10 @@
     """One attempt at a non-repeatable call.
 
     :param key: the call's idempotency key.
-    :param ran: whether an endpoint ran it for this attempt.
-    :param outcome: the outcome reported to the client: ``answered``, ``not_run``, ``accepted``
+    :ivar ran: whether an endpoint ran it for this attempt.
+    :ivar outcome: the outcome reported to the client: ``answered``, ``not_run``, ``accepted``
         or ``failed``; ``none`` if its gateway died first.
-    :param answer_key: the key of the call whose answer the client received, or None.
+    :ivar answer_key: the key of the call whose answer the client received, or None.
     """
 
     __slots__ = ("key", "ran", "outcome", "answer_key")
--- a/src/guavacleat/explain/causes.py
+++ b/src/guavacleat/explain/causes.py
@@ -54,8 +54,7 @@
     503: "the target engine had no memory for a copy",
 }
 SERVER_ERROR = 500
-# A stopping gateway does not cut streams before this grace period; an earlier end has another
-# cause.
+# A stopping gateway cuts no stream sooner than this; an earlier end of a stream has another cause.
 STOP_GRACE_SECONDS = 5.0
 
 
--- a/src/guavacleat/explain/timeline.py
+++ b/src/guavacleat/explain/timeline.py
@@ -72,8 +72,8 @@
 class LogIndex:
     """Log lines of many processes in order of time, indexed by request id and by instance.
 
-    :param by_request: the lines that carry a request id.
-    :param by_instance: an instance's context lines, about itself, its endpoints and quarantines.
+    :ivar by_request: the lines that carry a request id.
+    :ivar by_instance: an instance's context lines, about itself, its endpoints and quarantines.
     """
 
     __slots__ = ("lines", "by_request", "by_instance")
--- a/src/guavacleat/load/client.py
+++ b/src/guavacleat/load/client.py
@@ -14,14 +14,14 @@
 class CompletionResult:
     """Response to one request, as received by the caller.
 
-    :param status: HTTP status.
-    :param indices: the ``index`` of each token event, in arrival order.
-    :param texts: the text of each token event, in arrival order.
-    :param arrivals: arrival time of each token event, in reactor seconds.
-    :param finish_reason: from the final event, or "" without one.
-    :param error: the error object of an error response or event, or None.
-    :param stream: the handle to reconnect with, from the latest stream event.
-    :param retry_after: the Retry-After header, in seconds, or None.
+    :ivar status: HTTP status.
+    :ivar indices: the ``index`` of each token event, in arrival order.
+    :ivar texts: the text of each token event, in arrival order.
+    :ivar arrivals: arrival time of each token event, in reactor seconds.
+    :ivar finish_reason: from the final event, or "" without one.
+    :ivar error: the error object of an error response or event, or None.
+    :ivar stream: the handle to reconnect with, from the latest stream event.
+    :ivar retry_after: the Retry-After header, in seconds, or None.
     """
 
     __slots__ = (
--- a/src/guavacleat/load/clock.py
+++ b/src/guavacleat/load/clock.py
@@ -12,8 +12,9 @@
 class HeapClock(Clock):
     """Runs calls in the same order as :class:`Clock`, without sorting all of them on each change.
 
-    A heap entry holds the time its call had when it was pushed. The entry of a delayed call is
-    pushed again when it reaches the top; a call that was moved forward has a second entry.
+    A heap entry holds the time that its call had when it was pushed. The entry of a postponed call
+    is pushed again with the new time when it reaches the top; a call that was moved to an earlier
+    time has a second entry.
     """
 
     def __init__(self):
--- a/src/guavacleat/load/experiment.py
+++ b/src/guavacleat/load/experiment.py
@@ -52,8 +52,8 @@
 class CallerLog:
     """Sink of the relay that records one request's tokens and outcome.
 
-    :param token_times: arrival time of each token, by index.
-    :param outcome: ``completed``, ``not_run``, ``failed``, or ``open`` if the run ended first.
+    :ivar token_times: arrival time of each token, by index.
+    :ivar outcome: ``completed``, ``not_run``, ``failed``, or ``open`` if the run ended first.
     """
 
     __slots__ = (
@@ -64,7 +64,7 @@
         "indices",
         "texts",
         "outcome",
-        "ended",
+        "ended_at",
     )
 
     def __init__(self, arrival: Arrival, clock):
@@ -75,7 +75,7 @@
         self.indices: list[int] = []
         self.texts: list[str] = []
         self.outcome = "open"
-        self.ended: float | None = None
+        self.ended_at: float | None = None
 
     def set_handle(self, handle: str) -> None:
         """Ignores the handle, because callers of a run do not reconnect."""
@@ -86,7 +86,7 @@
         self.token_times.append(self.clock.seconds())
 
     def end(self, reason: str) -> None:
-        self.ended = self.clock.seconds()
+        self.ended_at = self.clock.seconds()
 
 
 class Run:
--- a/src/guavacleat/load/fleet.py
+++ b/src/guavacleat/load/fleet.py
@@ -25,7 +25,7 @@
 
 __all__ = ["Fleet", "FleetEndpoint", "FleetGateway", "LINK_SECONDS", "Policy"]
 
-# One-way latency between data centres.
+# One-way latency of a link, as between two data centres.
 LINK_SECONDS = 0.0015
 IDLE_SWEEP_SECONDS = 1.0
 
@@ -99,8 +99,8 @@
         self.name = name
         self.service = service
         self.engine = Engine(clock, engine_settings)
-        link = DirectEngine(self.engine)
-        self.handler = SidecarHandler(name, link, None, clock, policy.headroom)
+        engine_client = DirectEngine(self.engine)
+        self.handler = SidecarHandler(name, engine_client, None, clock, policy.headroom)
         if policy.reserves_headroom:
             self.handler.refresh_capacity()
         self.terminated = False
@@ -199,14 +199,14 @@
         self.dispatcher = Dispatcher(clock, self.membership, self.router, policy.queue)
         self.metrics = StreamMetrics()
         self.relay = Relay(clock, self.membership, self.dispatcher, pool, self.metrics)
-        self.poll = DigestPoller(clock, self.membership, self.dispatcher, pool)
+        self.digest_poller = DigestPoller(clock, self.membership, self.dispatcher, pool)
 
 
 class Fleet:
     """Endpoints and the gateways that route to them.
 
     :param services_by_endpoint: service names by endpoint name.
-    :param engine_settings: maps an endpoint's name to its ``EngineSettings``.
+    :param engine_settings: function from an endpoint's name to its ``EngineSettings``.
     """
 
     def __init__(self, clock, services_by_endpoint, engine_settings, gateways: int, policy: Policy):
@@ -220,7 +220,7 @@
         Periodic(clock, HEARTBEAT_SECONDS, self._send_heartbeats).start()
         Periodic(clock, IDLE_SWEEP_SECONDS, self._cancel_idle_streams).start()
         for gateway in self.gateways:
-            gateway.poll.rounds.start()
+            gateway.digest_poller.rounds.start()
 
     def _send_heartbeats(self) -> None:
         running = [
--- a/src/guavacleat/load/report.py
+++ b/src/guavacleat/load/report.py
@@ -18,11 +18,13 @@
 class Row:
     """Figures for one account and class (or ``all``); times in seconds.
 
-    :param waits: sum of the times to first token, over requests with a first token.
-    :param stalls: sum of the gaps between tokens longer than ``STALL_GAP_SECONDS``.
-    :param on_time: completed requests with their first token within ``max_wait``.
-    :param goodput: tokens per second of the on-time requests.
-    :param share: on-time work divided by the account's fair share; accounts only.
+    :ivar waits: sum of the times to first token, over requests with a first token.
+    :ivar stalls: sum of the gaps between tokens longer than ``STALL_GAP_SECONDS``.
+    :ivar on_time: completed requests whose first token came within ``Run.first_token_timeout``.
+    :ivar goodput: tokens per second of the on-time requests.
+    :ivar ttft: time to first token, as percentiles (``p50``, ``p95``, ``p99``) by name.
+    :ivar gap: time between tokens, likewise.
+    :ivar share: on-time work divided by the account's fair share; accounts only.
     """
 
     __slots__ = (
--- a/src/guavacleat/report/engines.py
+++ b/src/guavacleat/report/engines.py
@@ -6,7 +6,14 @@
 
 
 class PlacementEstimate:
-    """A gateway's estimate of an engine's load when it placed a generation there."""
+    """A gateway's estimate of an engine's load when it placed a generation there.
+
+    The figures include that generation.
+
+    :ivar runs: number of requests that run on the engine.
+    :ivar expected: memory that they are expected to use in total, in tokens.
+    :ivar unread: prompt tokens awaiting prefill.
+    """
 
     __slots__ = ("at", "instance", "runs", "expected", "unread")
 
@@ -38,8 +45,10 @@
 class EngineHistory:
     """One engine; times in seconds, None where no gateway logged one.
 
-    :param notice_at: when a gateway first learned that it is leaving.
-    :param ended_at: when the last stream on it broke.
+    :ivar notice_at: when a gateway first learned that it is leaving.
+    :ivar ended_at: when a stream last broke on it after the notice.
+    :ivar broken: number of streams that broke on it.
+    :ivar handed_over: number of streams that it handed over to another engine.
     """
 
     __slots__ = (
--- a/src/guavacleat/standin/engine.py
+++ b/src/guavacleat/standin/engine.py
@@ -195,7 +195,7 @@
         self.load_history = [entry for entry in self.load_history if entry[0] >= horizon]
 
     def load(self) -> dict:
-        """Return the newest snapshot that is at least ``load_lag`` seconds old."""
+        """Return the newest snapshot at least ``load_lag`` seconds old; an idle one if none is."""
         cutoff = self.clock.seconds() - self.settings.load_lag
         older = [snapshot for at, snapshot in self.load_history if at <= cutoff]
         empty = {"running": 0, "waiting": 0, "kv_used": 0, "preemptions": 0}
--- a/src/guavacleat/standin/engine_http.py
+++ b/src/guavacleat/standin/engine_http.py
@@ -18,7 +18,7 @@
 
 __all__ = ["EngineApp"]
 
-MAX_READ_WAIT = 10.0
+MAX_READ_WAIT_SECONDS = 10.0
 
 
 class EngineApp:
@@ -51,7 +51,7 @@
         if stream_id not in self.engine.sequences_by_id:
             return json_response(request, 404, {"error": "unknown stream"})
         cursor = int(request.args.get(b"cursor", [b"0"])[0])
-        wait = min(float(request.args.get(b"wait", [b"1"])[0]), MAX_READ_WAIT)
+        wait = min(float(request.args.get(b"wait", [b"1"])[0]), MAX_READ_WAIT_SECONDS)
         reading = self.engine.read(stream_id, cursor, wait)
         reading.addCallback(
             lambda sequence: json_response(request, 200, _token_batch(sequence, cursor))
--- a/src/guavacleat/standin/local_routes.py
+++ b/src/guavacleat/standin/local_routes.py
@@ -13,7 +13,7 @@
 __all__ = ["LocalRoutes"]
 
 LOOPBACK = "127.0.0.1"
-STOP_GRACE = 0.5
+STOP_GRACE_SECONDS = 0.5
 
 
 class LocalRoutes:
@@ -38,7 +38,7 @@
             data_centre="",
             caller_address=(LOOPBACK, 0),
             readiness_address=(LOOPBACK, 0),
-            bounds=Bounds(stop_grace=STOP_GRACE),
+            bounds=Bounds(stop_grace=STOP_GRACE_SECONDS),
         )
         source = FileSource(lambda: self.file)
         self.ingress = IngressService(self.reactor, settings, NativeWire(), source, "/ready")
--- a/src/guavacleat/standin/routed.py
+++ b/src/guavacleat/standin/routed.py
@@ -1,8 +1,8 @@
 """Stand-in for an endpoint behind the ingress: plain and streamed responses, with faults.
 
 Every path gets a response, shaped by the active :class:`EndpointFault`. Runs are counted by request
-ID, so that tests can detect repeated runs. Regardless of the fault, a request whose body is
-``CRASH_BODY`` crashes the endpoint while it runs.
+ID, so that tests can detect repeated runs. A request whose body is ``CRASH_BODY`` crashes the
+endpoint while it runs, under every fault that does not refuse it.
 """
 
 import enum
@@ -17,7 +17,7 @@
 __all__ = ["CRASH_BODY", "StandinEndpoint", "EndpointFault"]
 
 CRASH_BODY = b"crash"
-# Delay from the arrival of such a request to the crash.
+# Delay from the arrival of a ``CRASH_BODY`` request to the crash.
 CRASH_SECONDS = 0.05
 
 EVENT_COUNT = 5
--- a/src/guavacleat/standin/sequences.py
+++ b/src/guavacleat/standin/sequences.py
@@ -10,7 +10,7 @@
 
 WORDS = ("the", "caller", "listing", "number", "garage", "slot", "summary", "check", "route", "ok")
 PARETO_SHAPE = 1.2
-MIN_OUTPUT = 4
+MIN_OUTPUT_TOKENS = 4
 
 
 class EngineSettings:
@@ -140,7 +140,7 @@
     if fixed is not None:
         return min(max_tokens, fixed(request_id) if callable(fixed) else fixed)
     draw = random.Random(request_id).paretovariate(PARETO_SHAPE)
-    return max(1, min(max_tokens, int(MIN_OUTPUT * draw)))
+    return max(1, min(max_tokens, int(MIN_OUTPUT_TOKENS * draw)))
 
 
 def token_of(generation: str, index: int) -> str:
--- a/src/guavacleat/standin/store.py
+++ b/src/guavacleat/standin/store.py
@@ -35,7 +35,7 @@
 
 __all__ = ["StoreApp", "StoreState", "restore_at_intervals"]
 
-MAX_WATCH_WAIT = 30.0
+MAX_WATCH_WAIT_SECONDS = 30.0
 
 
 class Faults:
@@ -111,7 +111,7 @@
             return defer.succeed(found)
         waiter = defer.Deferred()
         self.watchers_by_kind.setdefault(kind, []).append(waiter)
-        timer = self.clock.callLater(min(wait, MAX_WATCH_WAIT), _fire_once, waiter)
+        timer = self.clock.callLater(min(wait, MAX_WATCH_WAIT_SECONDS), _fire_once, waiter)
         waiter.addCallback(lambda _: _cancel_timer(timer))
         waiter.addCallback(lambda _: self.changes(kind, since))
         return waiter
--- a/src/guavacleat/standin/system.py
+++ b/src/guavacleat/standin/system.py
@@ -27,8 +27,8 @@
 
 EXAMPLES = Path(guavacleat.__file__).parent / "examples"
 LOOPBACK = "127.0.0.1"
-READY_POLL = 0.05
-READY_TIMEOUT = 10.0
+READY_POLL_SECONDS = 0.05
+READY_TIMEOUT_SECONDS = 10.0
 
 
 class LocalSystem(service.MultiService):
@@ -52,9 +52,9 @@
         """Start all parts, apply the settings, and fire once the gateway can route."""
         self.store.setServiceParent(self)
         self.startService()
-        kinds = load_settings(self.settings_path).services_by_name
+        configured_services = load_settings(self.settings_path).services_by_name
         for name, service_name in self.endpoints.items():
-            self._start_endpoint(name, service_name, kinds[service_name].kind)
+            self._start_endpoint(name, service_name, configured_services[service_name].kind)
         yield apply_settings(StoreClient(self.store.url()), self.settings_path)
         self.gateway = GatewayService(self.reactor, (LOOPBACK, 0), self.store.url())
         self.gateway.setServiceParent(self)
@@ -85,13 +85,13 @@
     def _wait_until_routable(self):
         services = set(self.endpoints.values())
         waited = 0.0
-        while waited < READY_TIMEOUT:
+        while waited < READY_TIMEOUT_SECONDS:
             if self.gateway.config.deployment and all(
                 self.gateway.membership.live(name) for name in services
             ):
                 return
-            yield task.deferLater(self.reactor, READY_POLL, lambda: None)
-            waited += READY_POLL
+            yield task.deferLater(self.reactor, READY_POLL_SECONDS, lambda: None)
+            waited += READY_POLL_SECONDS
         raise TimeoutError("timed out waiting for the gateway's configuration and endpoints")
 
     def completions_url(self) -> str:
--- a/tests/e2e/test_ingress.py
+++ b/tests/e2e/test_ingress.py
@@ -108,8 +108,8 @@
     assert ingress.request("/nowhere/")[0] == 404
     assert ingress.request("/plain/x", headers={"Key": "unknown"})[0] == 401
     lines = ingress.stop()
-    kinds = [line["message_type"] for line in lines]
-    assert kinds[0] == "process:started" and kinds[-1] == "process:stopped"
+    types = [line["message_type"] for line in lines]
+    assert types[0] == "process:started" and types[-1] == "process:stopped"
     outcomes = [line["outcome"] for line in lines if line["message_type"] == "request:end"]
     assert outcomes == ["ANSWERED", "ANSWERED", "UNKNOWN_ROUTE", "UNKNOWN_KEY"]
 
--- a/tests/network.py
+++ b/tests/network.py
@@ -1,8 +1,12 @@
 """A simulated network: instances on one virtual clock, connected in memory."""
 
 from twisted.internet.address import IPv4Address
-from twisted.internet.error import ConnectionAborted, ConnectionDone, ConnectionRefusedError
-from twisted.internet.error import ConnectionLost as Lost
+from twisted.internet.error import (
+    ConnectionAborted,
+    ConnectionDone,
+    ConnectionLost,
+    ConnectionRefusedError,
+)
 from twisted.internet.task import Clock
 from twisted.python.failure import Failure
 
@@ -65,12 +69,12 @@
         self._close(ConnectionDone(), ConnectionDone())
 
     def abortConnection(self):  # noqa: N802 - Twisted's name
-        self._close(ConnectionAborted(), Lost())
+        self._close(ConnectionAborted(), ConnectionLost())
 
-    def _close(self, own, others):
+    def _close(self, local_error, remote_error):
         if self.connected:
-            self.network.callLater(0, self.lose, own)
-            self.network.callLater(DELAY_SECONDS, self.other.lose, others)
+            self.network.callLater(0, self.lose, local_error)
+            self.network.callLater(DELAY_SECONDS, self.other.lose, remote_error)
 
     def lose(self, error):
         if self.connected:
@@ -94,6 +98,7 @@
     """The reactor shared by all instances.
 
     :ivar blocked_links: (source, destination) pairs of IPs whose datagrams are dropped.
+    :ivar datagram_bytes: total size of the datagrams sent.
     """
 
     def __init__(self):
