--- a/src/guavacleat/checks/history.py
+++ b/src/guavacleat/checks/history.py
@@ -1,11 +1,11 @@
 """Checks of recorded histories; each returns the violations found.
 
-- :func:`check_stream`: a caller receives each token exactly once, in order, as one answer: each
+- :func:`check_stream`: a caller receives each token exactly once, in order, as one response: each
   token is the one that the serving endpoint produced at this index, and an endpoint that resumes
   the stream is started with exactly the tokens already sent.
 - :func:`check_versions`: a daemon's configuration version never decreases.
 - :func:`check_calls`: a non-repeatable call runs at most once, a call reported as not run did not
-  run, and no client receives the answer to another call.
+  run, and no caller receives the response to another call.
 """
 
 from collections import Counter
@@ -66,9 +66,9 @@
 
     :param key: the call's idempotency key.
     :ivar ran: whether an endpoint ran it for this attempt.
-    :ivar outcome: the outcome reported to the client: ``answered``, ``not_run``, ``accepted``
-        or ``failed``; ``none`` if its gateway died first.
-    :ivar answer_key: the key of the call whose answer the client received, or None.
+    :ivar outcome: the outcome reported to the caller: ``answered``, ``not_run``, ``accepted``
+        or ``failed``; ``none`` if its gateway crashed first.
+    :ivar answer_key: the key of the call whose response the caller received, or None.
     """
 
     __slots__ = ("key", "ran", "outcome", "answer_key")
--- a/src/guavacleat/checks/runs.py
+++ b/src/guavacleat/checks/runs.py
@@ -11,7 +11,7 @@
 def check_run(run) -> list[Violation]:
     """Return all violations in a run of :mod:`guavacleat.load.experiment`.
 
-    Tokens arrive exactly once, in order, from one generation; answers are complete; a request
+    Tokens arrive exactly once, in order, from one generation; responses are complete; a request
     reported as not run did not run; a non-repeatable call runs at most once; a draining endpoint
     gets no new requests.
     """
--- a/src/guavacleat/commands/demo.py
+++ b/src/guavacleat/commands/demo.py
@@ -3,7 +3,7 @@
 Starts the object API stand-in, two stand-in engines and a plain service with their sidecars, and
 a gateway in one process; applies the Nile Directory Exchange example settings; streams
 generations for several client accounts and priority classes; prints what each caller received
-and the gateway's latency summary. A retry of a non-repeatable call gets the stored answer, and
+and the gateway's latency summary. A retry of a non-repeatable call gets the stored response, and
 the service runs the call once. Then sends plain HTTP requests through an ingress that reads the
 example routes file.
 """
--- a/src/guavacleat/config/loader.py
+++ b/src/guavacleat/config/loader.py
@@ -1,6 +1,6 @@
 """Loads and validates a deployment settings file (JSON5).
 
-A file with any problem is refused as a whole. One :class:`~guavacleat.errors.SettingsError` lists
+A file with any problem is rejected as a whole. One :class:`~guavacleat.errors.SettingsError` lists
 all problems, each with its field and remedy.
 """
 
--- a/src/guavacleat/errors.py
+++ b/src/guavacleat/errors.py
@@ -29,7 +29,7 @@
 
 
 class NotRunError(GuavacleatError):
-    """A request was rejected before any engine started it.
+    """A request was refused before any engine started it.
 
     :param retry_after: seconds after which the caller may retry.
     """
--- a/src/guavacleat/forwarding/handover.py
+++ b/src/guavacleat/forwarding/handover.py
@@ -29,7 +29,7 @@
 class Handover:
     """One handover of ``session``, a :class:`~.session.StreamSession` that has a copy.
 
-    :param attempt: the attempt on the new engine; None until it is opened.
+    :ivar attempt: the attempt on the new engine; None until it is opened.
     """
 
     def __init__(self, session):
--- a/src/guavacleat/forwarding/memory.py
+++ b/src/guavacleat/forwarding/memory.py
@@ -32,8 +32,8 @@
 class StreamMemory:
     """Records the memory of the stream's run and of its copy in the load tracker.
 
-    :param events: number of events that the run has produced.
-    :param copy: the copy from which the stream can resume; None if there is none.
+    :ivar events: number of events that the run has produced.
+    :ivar copy: the copy from which the stream can resume; None if there is none.
     """
 
     def __init__(self, request: ForwardedRequest, load: LoadTracker):
--- a/src/guavacleat/forwarding/request.py
+++ b/src/guavacleat/forwarding/request.py
@@ -17,8 +17,8 @@
 
     :param version: version of the configuration that matched the request.
     :param arrived_at: clock time of arrival.
-    :param deadline: clock time at which the caller's or the route's timeout expires.
     :param forecast: forecast of the route's output lengths; None if there is none yet.
+    :ivar deadline: clock time at which the caller's or the route's timeout expires.
     """
 
     __slots__ = (
--- a/src/guavacleat/forwarding/timings.py
+++ b/src/guavacleat/forwarding/timings.py
@@ -31,9 +31,9 @@
 class StreamTimings:
     """Timings of the events sent to one caller, in seconds.
 
-    :param first_event_delay: from the request's arrival to the first event; None before it.
-    :param longest_gap: the longest pause between two events.
-    :param gap_event: id of the event after that pause.
+    :ivar first_event_delay: from the request's arrival to the first event; None before it.
+    :ivar longest_gap: the longest pause between two events.
+    :ivar gap_event: id of the event after that pause.
     """
 
     __slots__ = ("arrived_at", "first_event_delay", "last_event_at", "longest_gap", "gap_event")
--- a/src/guavacleat/idempotency/guard.py
+++ b/src/guavacleat/idempotency/guard.py
@@ -38,7 +38,7 @@
 
         The refusal is sent only after the release is recorded: if this gateway crashed in between,
         the key would stay claimed by a call that never ran. After ``RELEASE_WAIT_SECONDS`` without
-        an answer from the store this fires with False; the release continues in the background.
+        a response from the store this fires with False; the release continues in the background.
         """
         if not self.claimed:
             return defer.succeed(True)
--- a/src/guavacleat/idempotency/records.py
+++ b/src/guavacleat/idempotency/records.py
@@ -11,7 +11,7 @@
 finished call is stored in the record (``state: done``) and replayed to retries; a retry of a call
 that is still running is told when to retry.
 
-A store restored from an older copy has lost its latest claims. Each gateway remembers its recent
+A store restored from a backup has lost its latest claims. Each gateway remembers its recent
 claims and writes them again. Until every gateway has had time to do so, a missing record proves
 nothing, and the call is refused without being run. Claims are lost only if their gateway fails
 together with the store.
@@ -52,7 +52,7 @@
 # lost, and its retries are told that the outcome is unknown.
 OUTCOME_UNKNOWN_SECONDS = 60.0
 MAX_FIRST_SEEN_KEYS = 10_000
-# Longer than the age of any copy from which the store is restored.
+# Longer than the age of any backup from which the store is restored.
 RECENT_WRITE_SECONDS = 60.0
 MAX_RECENT_WRITES = 4096
 # Time in which every gateway notices a restore and writes its recent claims again.
@@ -127,7 +127,7 @@
         """Fire once ``request_id`` holds ``key``; ``fingerprint`` identifies the request's body.
 
         Raises AlreadyAcceptedError if another request holds it, KeyReusedError if it was used with
-        another body, NotRunError if the store is unavailable (the call was not sent and may be
+        another body, NotRunError if the store is unreachable (the call was not sent and may be
         retried with the same key).
         """
         record = {"holder": request_id, "state": CLAIMED, "fingerprint": fingerprint}
@@ -196,7 +196,7 @@
 
     @defer.inlineCallbacks
     def _retry_rewrite(self, key: str):
-        """Write a lost record again; retry while the store is unavailable."""
+        """Write a lost record again; retry while the store is unreachable."""
         for _ in range(MAX_UPDATE_ATTEMPTS):
             try:
                 yield self._rewrite(key)
@@ -223,7 +223,7 @@
         if value["state"] == RELEASED:
             yield self.store.put(CALL_KIND, key, record, current.version)
         elif value["state"] == CLAIMED:
-            # Claimed by a retry that learnt of the restore only from the response to its claim; it
+            # Claimed by a retry that learned of the restore only from the response to its claim; it
             # releases the key.
             raise StoreUnavailableError(f"{key} is claimed by a retry")
 
@@ -316,7 +316,7 @@
     def _update_once(self, key: str, request_id: str, changes: dict):
         current = yield self.store.get(CALL_KIND, key)
         if current is None:
-            # The create was not answered and may still be applied; a record created now makes it
+            # The create got no response and may still be applied; a record created now makes it
             # fail.
             record = self._recent_write(key, request_id) or {
                 "holder": request_id,
--- a/src/guavacleat/ingress/sources.py
+++ b/src/guavacleat/ingress/sources.py
@@ -19,7 +19,8 @@
 
 __all__ = ["ControlTraffic", "FileSource", "StoreSource"]
 
-# Maximum long-poll time of a watch. A silent store is noticed after this and the call timeout.
+# Maximum long-poll time of a watch. An unreachable store is detected after this plus the call
+# timeout.
 WATCH_SECONDS = 2.0
 # Timeout until a response begins and, from then on, since the last byte received: on a slow link a
 # whole response may take seconds.
@@ -28,7 +29,7 @@
 # outage.
 STORE_BACKOFF_SECONDS = 0.5
 # Delay before a gateway that does not watch repeats a failed call; longer than the backoff, since
-# watching peers report when the store is back.
+# watching peers report when the store is reachable again.
 UNREACHABLE_RETRY_SECONDS = 1.5
 # Maximum pause between endpoint watches of a gateway that shares watching with peers; shorter than
 # an engine's notice before it leaves.
--- a/src/guavacleat/logs.py
+++ b/src/guavacleat/logs.py
@@ -1,8 +1,8 @@
 """Non-blocking structured logging to a file descriptor.
 
 Lines are eliot's JSON messages. A line that does not fit into the pipe or exceeds the rate limit is
-dropped, so that a stalled reader cannot block the process. The number of dropped lines is logged as
-soon as there is room.
+dropped, so that a stalled reader cannot block the process. The number of dropped lines is logged
+before the next line that is written.
 """
 
 import fcntl
--- a/src/guavacleat/membership/instances.py
+++ b/src/guavacleat/membership/instances.py
@@ -22,7 +22,7 @@
 
     @defer.inlineCallbacks
     def poll(self):
-        """Read the list once; keep the previous result if the store is unavailable."""
+        """Read the list once; keep the previous result if the store is unreachable."""
         try:
             states_by_name = yield self.store.instances()
         except StoreUnavailableError:
--- a/src/guavacleat/membership/lease.py
+++ b/src/guavacleat/membership/lease.py
@@ -12,7 +12,8 @@
 
 HEARTBEAT_SECONDS = 1.0
 LEASE_SECONDS = 3.0
-# An unanswered write is read back one heartbeat later; fewer sessions than this start meanwhile.
+# A write without a response is read back one heartbeat later; fewer sessions than this start in
+# that time.
 MAX_DISPLACED_SESSIONS = 8
 
 
@@ -50,7 +51,7 @@
         try:
             yield self._write()
         except (ConflictError, StoreUnavailableError):
-            # Another session wrote the record, or this write took effect but its answer was
+            # Another session wrote the record, or this write took effect but its response was
             # lost. The next heartbeat reads the record before writing.
             self.version = None
             self.failures += 1
@@ -71,7 +72,7 @@
         self.held = True
 
     def _record_displaced(self, current) -> None:
-        """Name the displaced sessions in the record: they learn that their writes were done."""
+        """Name the displaced sessions in the record: they learn that their writes were applied."""
         if current is None or current.value.get("session") == self.record.session:
             return
         sessions = (current.value.get("session", ""), *current.value.get("displaced", ()))
@@ -80,8 +81,8 @@
     def _is_taken_over(self, value: dict) -> bool:
         """Whether another session has taken the record over from this one.
 
-        An unanswered first write may not have displaced the previous session. The record then
-        still names that session, which does not count as a takeover.
+        A first write without a response may not have displaced the previous session. The record
+        then still names that session, which does not count as a takeover.
         """
         session = value.get("session", "")
         if session == self.record.session:
--- a/src/guavacleat/membership/records.py
+++ b/src/guavacleat/membership/records.py
@@ -13,8 +13,8 @@
     :param beat: heartbeat counter, incremented by each renewal, so that each renewal is a change.
     :param instance: the instance's name in the platform's list of instances.
     :param session: unique per start of the sidecar.
-    :param displaced: sessions that held the record before, newest first. A session whose write was
-        not answered learns from it that the write was done and that it has lost the record.
+    :param displaced: sessions that held the record before, newest first. A session whose write got
+        no response learns from it that the write was applied and that it has lost the record.
     """
 
     __slots__ = (
--- a/src/guavacleat/membership/registry.py
+++ b/src/guavacleat/membership/registry.py
@@ -140,7 +140,7 @@
         self.on_restarted = on_restarted or (lambda entry: None)
         self.entries_by_id: dict[str, EndpointEntry] = {}
         self.on_change = lambda: None
-        # Endpoints reported to ``on_leaving`` that are neither gone nor ready again.
+        # Endpoints reported to ``on_leaving`` that are neither removed nor ready again.
         self.leaving_ids: set[str] = set()
         self.last_leaving_at_by_service: dict[str, float] = {}
         self.changes_by_id: dict[str, EndpointChange] = {}
@@ -150,7 +150,7 @@
         self.unreadable_ids: set[str] = set()
         # Revisions of outdated entries from a restored backup of the store.
         self.backup_revisions_by_id: dict[str, Revision] = {}
-        # None until the store first answers; a gateway with a routes file has no store.
+        # None until the store first responds; a gateway with a routes file has no store.
         self.store_answered_at: float | None = None
         self.store_lost_at: float | None = None
         self.store_recovered_at: float | None = None
@@ -219,11 +219,11 @@
 
     @property
     def store_lost(self) -> bool:
-        """Whether the last watch call failed and the store has not answered a peer since."""
+        """Whether the last watch call failed and the store has not responded to a peer since."""
         return self.store_lost_at is not None
 
     def store_silence(self) -> float:
-        """Seconds since the store last answered this gateway; 0 before its first answer."""
+        """Seconds since the store last responded to this gateway; 0 before its first response."""
         if self.store_answered_at is None:
             return 0.0
         return self.clock.seconds() - self.store_answered_at
@@ -257,7 +257,7 @@
     def observe_peer_change(
         self, change: EndpointChange, complete_to_revision: int | None = None
     ) -> None:
-        """Apply a change that a peer learnt from the store, unless it is already known.
+        """Apply a change that a peer learned from the store, unless it is already known.
 
         :param complete_to_revision: the store's revision up to which this gateway knows all
             changes. An unknown endpoint with an earlier revision was removed before it.
@@ -304,12 +304,12 @@
                 self.remove(id)
 
     def record_store_call(self, healthy: bool) -> None:
-        """Record whether the store answered a call."""
+        """Record whether a call to the store succeeded."""
         if healthy:
             self.store_answered_at = self.clock.seconds()
 
     def record_store_health(self, healthy: bool) -> None:
-        """Record whether the store answered the last watch call."""
+        """Record whether the last watch call succeeded."""
         now = self.clock.seconds()
         self.record_store_call(healthy)
         self.store_failed_at = None if healthy else now
@@ -320,7 +320,7 @@
             self._record_store_recovery()
 
     def record_store_reached_by_peer(self, at: float) -> None:
-        """Record that the store answered a peer at clock time ``at``.
+        """Record that the store responded to a peer at clock time ``at``.
 
         A gateway that is not a watcher makes no calls itself. It would otherwise still consider
         the store unreachable at its next call, and treat entries removed until then as lapsed.
@@ -334,7 +334,7 @@
         self.store_recovered_at = self.clock.seconds()
 
     def record_store_silence(self) -> None:
-        """Record, on a gateway that is not a watcher, that the store answers no gateway.
+        """Record, on a gateway that is not a watcher, that no gateway reaches the store.
 
         This restarts the time in which endpoints may register again: entries that lapse meanwhile
         would otherwise be treated as removed after this gateway's next call.
@@ -356,7 +356,7 @@
         return failed_at is not None and self.clock.seconds() - failed_at < UNREACHABLE_SECONDS
 
     def remove_stale(self, id: str) -> None:
-        """Remove an entry because another incarnation answered at its address."""
+        """Remove an entry because another incarnation responded at its address."""
         if id in self.entries_by_id:
             self._drop(id)
 
--- a/src/guavacleat/membership/status_poll.py
+++ b/src/guavacleat/membership/status_poll.py
@@ -6,9 +6,9 @@
 request is billed. They are therefore polled only during an outage, each by one gateway, which
 gossips the result.
 
-A store that accepts calls without answering is detected by a watch only at its timeout, too late
+A store that accepts calls without responding is detected by a watch only at its timeout, too late
 for an engine with short notice. The gateways' watches end at different times, so that an outage is
-detected earlier when none of them has had an answer for ``STORE_SILENCE_SECONDS``.
+detected earlier when none of them has had a response for ``STORE_SILENCE_SECONDS``.
 """
 
 from eliot import log_message
@@ -24,7 +24,7 @@
 
 # Short compared with the notice that engines give.
 POLL_INTERVAL_SECONDS = 0.4
-# Time without an answer from the store to any gateway after which it counts as unreachable. A
+# Time without a response from the store to any gateway after which it counts as unreachable. A
 # watch returns every 1.2 to 2 s. A gateway without peers knows of its own watches only and waits
 # longer.
 STORE_SILENCE_SECONDS = 1.0
@@ -33,7 +33,7 @@
 
 
 def store_silence(registry: EndpointRegistry, peers) -> float:
-    """Seconds since the store last answered this gateway or a peer."""
+    """Seconds since the store last responded to this gateway or a peer."""
     return min(registry.store_silence(), peers.store_silence())
 
 
--- a/src/guavacleat/membership/view.py
+++ b/src/guavacleat/membership/view.py
@@ -62,11 +62,11 @@
             self.ordered_by_service.pop(record.service, None)
 
     def record_store_health(self, healthy: bool) -> None:
-        """Record whether the store answered the watch.
+        """Record whether the last watch call succeeded.
 
         During an outage no renewals arrive, so that lease expiry is suspended: the view keeps the
         last known endpoints, and the data path detects failed ones. Expiry resumes with the ages
-        at the start of the outage when the store answers again.
+        at the start of the outage when the store is reachable again.
         """
         now = self.clock.seconds()
         if not healthy and self.store_lost_at is None:
--- a/src/guavacleat/peers/crashes.py
+++ b/src/guavacleat/peers/crashes.py
@@ -56,7 +56,7 @@
 
     def apply_message(self, message: ttypes.Crashes) -> None:
         """Merge a peer's observations."""
-        # Clearances first, so that a cleared request is not charged again.
+        # Clearances first, so that crashes are not counted against a cleared request.
         for clearance in message.clearances or ():
             self.tracker.merge_completion(clearance.fingerprint, clearance.age)
         for crash in message.ends or ():
--- a/src/guavacleat/peers/directory.py
+++ b/src/guavacleat/peers/directory.py
@@ -23,7 +23,7 @@
     it, so that no watch is needed.
 
     :ivar local_addresses_by_instance: gateways in the same data centre, or in an unknown one.
-    :ivar remote_addresses_by_data_centre: addresses by instance, for each other data centre.
+    :ivar remote_addresses_by_data_centre: addresses by instance, for each remote data centre.
     """
 
     def __init__(
--- a/src/guavacleat/peers/exchange.py
+++ b/src/guavacleat/peers/exchange.py
@@ -1,7 +1,7 @@
 """Exchange of reports between gateways by UDP datagrams.
 
-Each gateway reports to the other gateways of its data centre, its neighbours, on changes and at
-each heartbeat. For traffic between data centres see ``summaries``.
+Each gateway reports to the other gateways of its data centre on changes and at each heartbeat.
+For traffic between data centres see ``summaries``.
 """
 
 import random
@@ -112,7 +112,7 @@
         self.sequence = 0
         self.pending_report = None
         self.bad_reports = 0
-        # Bytes sent within the data centre and to other ones.
+        # Bytes sent within the data centre and to remote ones.
         self.bytes_by_scope = {"near": 0, "far": 0}
         self.stopped = False
         self.stops_at: float | None = None
@@ -206,7 +206,7 @@
         self._send_local(encode_report(report))
 
     def _encode_summary(self) -> bytes:
-        """Encode the summary of this gateway's and its neighbours' reports."""
+        """Encode the summary of the reports of this data centre's gateways."""
         neighbours = self.peer_table.alive()
         stops = [self._stops_in(), *(report.stops_in for report in neighbours)]
         silences = [self.registry.store_silence(), *(report.store_silence for report in neighbours)]
--- a/src/guavacleat/peers/report.py
+++ b/src/guavacleat/peers/report.py
@@ -26,7 +26,7 @@
     :param changes: recent endpoint changes: all those after revision ``changes_since``.
     :param stops_in: maximum seconds until its process ends; None unless it is being stopped.
     :param store_failing: whether its store calls failed recently.
-    :param store_silence: seconds since the store last answered it.
+    :param store_silence: seconds since the store last responded to it.
     :param configuration_version: version in force at the sender; None if there is none.
     :param configuration_age: seconds since that was known to be the latest version.
     :param data_centre: the sender's data centre; None if unknown.
--- a/src/guavacleat/peers/summaries.py
+++ b/src/guavacleat/peers/summaries.py
@@ -2,7 +2,7 @@
 
 If every gateway reported to all others, traffic between data centres would grow with the square of
 the number of gateways. Instead, two gateways of each data centre, the forwarders, sum up the loads
-of its gateways and send the summary to two gateways of each other data centre, which relay it
+of its gateways and send the summary to two gateways of each remote data centre, which relay it
 unchanged to the gateways of theirs. Forwarders are selected by rendezvous hashing. The first one
 sends at each change of load, the second at each heartbeat, so that a failure of the first is
 covered.
@@ -20,7 +20,7 @@
 # Changes within this time are batched into one report or summary. Longer batching would let
 # several gateways choose the same engine by outdated loads.
 BATCH_SECONDS = 0.01
-# Senders of summaries per data centre, and their recipients in each other data centre.
+# Senders of summaries per data centre, and their recipients in each remote data centre.
 FORWARDERS = 2
 RECIPIENTS = 2
 
@@ -30,7 +30,7 @@
 
     :param encode: returns the encoded summary.
     :param send_local: sends a datagram to every known gateway in the same data centre.
-    :param send_remote: sends a datagram to an address in another data centre.
+    :param send_remote: sends a datagram to an address in a remote data centre.
     """
 
     def __init__(
@@ -48,7 +48,7 @@
         self.encode = encode
         self.send_local = send_local
         self.send_remote = send_remote
-        # The latest encoded summary of each other data centre that has not been relayed yet.
+        # The latest encoded summary of each remote data centre that has not been relayed yet.
         self.datagrams_by_data_centre: dict[str, bytes] = {}
         self.stopped = False
         self._pending_send = None
@@ -67,7 +67,7 @@
         self._schedule_send(FORWARDERS)
 
     def on_summary_received(self, data_centre: str, data: bytes) -> None:
-        """Queue a summary received directly from another data centre for relaying."""
+        """Queue a summary received directly from a remote data centre for relaying."""
         self.datagrams_by_data_centre[data_centre] = data
         if self.is_forwarder(1):
             self._relay()
--- a/src/guavacleat/peers/sync.py
+++ b/src/guavacleat/peers/sync.py
@@ -1,6 +1,6 @@
 """Selection of the gateways that watch the store, and sync state of the others.
 
-Store calls are billed, and each change wakes every watch. Therefore only a few gateways, the
+Store calls are billed, and each change completes every watch. Therefore only a few gateways, the
 watchers, watch the store. Each gateway selects them by rendezvous hashing among its live peers;
 where peers' views differ, there are temporarily more or fewer watchers. The other gateways rely on
 gossip:
@@ -147,7 +147,7 @@
         return gap or self.is_stale()
 
     def relist_is_due(self) -> bool:
-        """Whether to list the endpoints again, as the last answer of the store is too old."""
+        """Whether to list the endpoints again, as the last response of the store is too old."""
         return self.clock.seconds() >= self._relist_at
 
     def complete_since(self, seconds: float) -> int | None:
--- a/src/guavacleat/peers/table.py
+++ b/src/guavacleat/peers/table.py
@@ -1,6 +1,6 @@
 """The latest report of each peer, until it expires.
 
-Gateways in the same data centre report individually; other data centres send summaries.
+Gateways in the same data centre report individually; remote data centres send summaries.
 """
 
 import itertools
@@ -13,7 +13,7 @@
 
 __all__ = ["PeerTable", "GATEWAY_RESTART_SECONDS", "PEER_TIMEOUT_SECONDS"]
 
-# A peer without reports for this time is considered down: three lost heartbeats.
+# A peer without reports for this time is considered unreachable: three lost heartbeats.
 PEER_TIMEOUT_SECONDS = 1.6
 # From the end of a gateway's process until the restarted one takes requests: process start,
 # loading the configuration, and the load balancer's next health check.
@@ -67,7 +67,7 @@
         return [peer.report for peer in self._recent(self.peers_by_instance)]
 
     def summaries(self) -> list[GatewayReport]:
-        """One summary of each other data centre that has not timed out.
+        """One summary of each remote data centre that has not timed out.
 
         Two forwarders may cover different gateways: the summary of more gateways is used, then the
         newer one.
@@ -96,7 +96,7 @@
         return max((version for version in versions if version is not None), default=None)
 
     def store_silence(self) -> float:
-        """Seconds since the store last answered a peer, according to their reports."""
+        """Seconds since the store last responded to a peer, according to their reports."""
         now = self.clock.seconds()
         silences = (
             peer.report.store_silence + now - peer.received_at for peer in self._all_peers()
--- a/src/guavacleat/placement/choice.py
+++ b/src/guavacleat/placement/choice.py
@@ -127,7 +127,7 @@
     ) -> EndpointEntry | None:
         """The engine to move a run to, in the source's data centre if one has capacity.
 
-        A copy to another data centre takes longer, and the source is about to leave.
+        A copy to a remote data centre takes longer, and the source is about to leave.
         """
         ready = self.ready(source.service, exclude | {source.id})
         local = [
--- a/src/guavacleat/quarantine/tracker.py
+++ b/src/guavacleat/quarantine/tracker.py
@@ -269,7 +269,10 @@
         return sum(self._weight(crash, fingerprint) for crash in crashes)
 
     def _is_explained(self, crash: EndpointCrash, fingerprint: int, total_weight: float) -> bool:
-        """Whether another request in flight at the crash has a higher total weight."""
+        """Whether another request in flight at the crash explains it better.
+
+        Its total weight must be at least 1 higher, and at least QUARANTINE_CRASHES.
+        """
         suspects = (
             other
             for other in crash.fingerprints
--- a/src/guavacleat/report/ledger.py
+++ b/src/guavacleat/report/ledger.py
@@ -20,7 +20,7 @@
     CauseKind.LATE_PAUSE,
     CauseKind.LATE_ANSWER,
 }
-# Excluded from the total: the configuration forbids the request, or its client disconnected.
+# Excluded from the total: the configuration forbids the request, or its caller disconnected.
 EXCLUDED_CAUSES = {CauseKind.NOT_ALLOWED, CauseKind.CALLER_DISCONNECTED}
 
 
@@ -83,7 +83,7 @@
 
     @property
     def total_worth(self) -> float:
-        """Worth of all requests that are not excluded, if answered on time."""
+        """Worth of all requests that are not excluded, if each gets a response on time."""
         return math.fsum(
             self.worth(outcome).on_time
             for outcome in self.outcomes
--- a/src/guavacleat/routes/loader.py
+++ b/src/guavacleat/routes/loader.py
@@ -1,7 +1,7 @@
 """Loads and validates a routes file (JSON5).
 
 A file holds a complete routing configuration: caller limits, client accounts with their keys,
-services, routes and endpoint addresses. Times are in seconds. A file with any problem is refused
+services, routes and endpoint addresses. Times are in seconds. A file with any problem is rejected
 as a whole, and every problem is listed with its remedy. See ``examples/routes.json5``.
 """
 
--- a/src/guavacleat/sidecar/engine_client.py
+++ b/src/guavacleat/sidecar/engine_client.py
@@ -64,7 +64,7 @@
 
     @defer.inlineCallbacks
     def order(self, kind: str, target: str, fencing: int):
-        """Fire with True if the engine applied the order, False if it rejected it as stale."""
+        """Fire with True if the engine applied the order, False if it refused it as stale."""
         body = {"kind": kind, "target": target, "fencing": fencing}
         data = json.dumps(body).encode()
         response = yield self.http.request(
--- a/src/guavacleat/sidecar/handler.py
+++ b/src/guavacleat/sidecar/handler.py
@@ -126,7 +126,7 @@
     def cancel_idle(self) -> None:
         """Cancel streams that have not been read within the idle timeout.
 
-        Streams whose gateway died or whose caller disconnected would otherwise run to their end,
+        Streams whose gateway crashed or whose caller disconnected would otherwise run to their end,
         holding engine memory and delaying a drain.
         """
         for stream_id in self.streams.idle():
--- a/src/guavacleat/standin/engine.py
+++ b/src/guavacleat/standin/engine.py
@@ -2,19 +2,19 @@
 
 Each step (``step_seconds``) decodes one token for every running sequence, which adds one token to
 its KV cache. Waiting sequences are admitted by priority (lower number first), then by arrival,
-while the batch and the KV cache have room. A sequence's prompt is prefilled before its first token,
-at ``prefill_rate`` tokens per second and at most ``prefill_chunk`` tokens per step; a step with
-prefill takes longer for every running sequence. Cached prefix blocks need no prefill.
+while the batch and the KV cache have capacity. A sequence's prompt is prefilled before its first
+token, at ``prefill_rate`` tokens per second and at most ``prefill_chunk`` tokens per step; a step
+with prefill takes longer for every running sequence. Cached prefix blocks need no prefill.
 
 When the KV cache overflows during decoding, the engine preempts the sequence with the lowest
 priority that arrived last. It returns to the waiting queue with the tokens it has emitted, is
 prefilled again later and continues the same generation.
 
-Output lengths are drawn from a heavy-tailed distribution seeded by the request ID and capped by
+Output lengths are drawn from a heavy-tailed distribution seeded by the request id and capped by
 ``max_tokens``, so neither callers nor gateways know them in advance; ``output_length`` fixes them.
 Load reports lag by ``load_lag`` seconds. Cache events are published after ``event_lag`` seconds,
-and every ``event_gap_every``-th event is dropped. Orders carry a fencing token: with
-``fencing="refuse"`` an order whose token is below the highest seen is refused, with
+and every ``event_gap_every``-th event is dropped. Orders carry a fencing number: with
+``fencing="refuse"`` an order whose number is below the highest seen is refused, with
 ``fencing="ignore"`` it is applied.
 """
 
@@ -61,7 +61,7 @@
     def submit(
         self, request_id: str, prompt: str, max_tokens: int, priority: int, resume=()
     ) -> Sequence:
-        """Queue a generation and return its sequence, with a new stream ID per call.
+        """Queue a generation and return its sequence, with a new stream id per call.
 
         :param resume: tokens that another engine has emitted for this request; they are prefilled
             and the sequence continues from index ``len(resume)``.
--- a/src/guavacleat/standin/engine_http.py
+++ b/src/guavacleat/standin/engine_http.py
@@ -6,7 +6,7 @@
 - ``DELETE /v1/streams/<id>``: cancels the stream.
 - ``GET /v1/load``: the delayed load report.
 - ``GET /v1/cache-events?since=N``: prefix-cache events, delayed and with gaps.
-- ``POST /v1/orders`` ``{"kind", "target", "fencing"}``: 200, or 409 for a stale fencing token.
+- ``POST /v1/orders`` ``{"kind", "target", "fencing"}``: 200, or 409 for a stale fencing number.
 """
 
 import json
--- a/src/guavacleat/standin/routed.py
+++ b/src/guavacleat/standin/routed.py
@@ -1,7 +1,7 @@
 """Stand-in for an endpoint behind the ingress: plain and streamed responses, with faults.
 
 Every path gets a response, shaped by the active :class:`EndpointFault`. Runs are counted by request
-ID, so that tests can detect repeated runs. A request whose body is ``CRASH_BODY`` crashes the
+id, so that tests can detect repeated runs. A request whose body is ``CRASH_BODY`` crashes the
 endpoint while it runs, under every fault that does not refuse it.
 """
 
@@ -35,7 +35,7 @@
 
     ``REFUSE`` and ``OTHER_INCARNATION`` refuse the request without running it. ``RESET`` aborts the
     connection, ``TRUNCATE`` ends the response early, ``EXTRA`` sends a second response, ``FOREIGN``
-    returns another request's ID, ``UNSIGNED`` omits the endpoint header, ``HANG`` never responds.
+    returns another request's id, ``UNSIGNED`` omits the endpoint header, ``HANG`` never responds.
     """
 
     NONE = "none"
--- a/src/guavacleat/standin/sequences.py
+++ b/src/guavacleat/standin/sequences.py
@@ -16,7 +16,7 @@
 class EngineSettings:
     """Sizes and behaviour of one stand-in engine; times in seconds, KV cache in tokens.
 
-    :param output_length: None for random lengths, a fixed length, or a callable from request ID
+    :param output_length: None for random lengths, a fixed length, or a callable from request id
         to length.
     :param prefill_rate: prompt tokens prefilled per second; None if prefill takes no time.
     """
--- a/src/guavacleat/store/client.py
+++ b/src/guavacleat/store/client.py
@@ -6,8 +6,8 @@
 Every call has a timeout. A write whose response is lost raises :class:`StoreUnavailableError`
 although it may have been applied; callers that must not repeat it read the object before retrying.
 
-A store that was restored from an older copy reports a higher era. The versions and revisions that
-the client returns contain the era (:class:`~.messages.Revision`). One of an earlier era is never
+A store that was restored from a backup reports a higher era. The versions and revisions that the
+client returns contain the era (:class:`~.messages.Revision`). One of an earlier era is never
 sent, because the store may have assigned its number to another change since.
 """
 
@@ -126,7 +126,7 @@
         """Fire with a :class:`WatchBatch` of writes to ``kind`` after revision ``since``.
 
         Raises :class:`HistoryLostError` if the store no longer holds the writes after ``since`` or
-        was restored from a copy meanwhile; :class:`ChangesTooLargeError` if they are larger than
+        was restored from a backup meanwhile; :class:`ChangesTooLargeError` if they are larger than
         ``max_body_bytes``.
         """
         since = Revision(since)
--- a/src/guavacleat/store/messages.py
+++ b/src/guavacleat/store/messages.py
@@ -23,7 +23,7 @@
 class Revision(int):
     """A store's sequence number of a change, combined with the store's era in the high bits.
 
-    A store that is restored from an older copy continues from the copy's number and increments its
+    A store that is restored from a backup continues from the backup's number and increments its
     era. Both are packed into one integer, so that revisions compare and sort correctly. In era 0,
     and for a store without eras, a revision equals the store's number.
     """
@@ -99,8 +99,8 @@
 class Listing:
     """The pages of a listing that were read so far.
 
-    :param after: the name after which the next page starts.
-    :param revision: the revision of the first page. A watch from there also returns the changes
+    :ivar after: the name after which the next page starts.
+    :ivar revision: the revision of the first page. A watch from there also returns the changes
         made while the later pages were read.
     """
 
@@ -110,7 +110,7 @@
         self.reset()
 
     def reset(self) -> None:
-        """Discard the pages: the store was restored from a copy meanwhile."""
+        """Discard the pages: the store was restored from a backup meanwhile."""
         self.objects: list[StoredObject] = []
         self.after: str | None = None
         self.revision: int | None = None
@@ -138,7 +138,7 @@
 
 
 class StoreUnavailableError(StoreError):
-    """The store did not answer in time or reported an error; a write may have been applied."""
+    """The store did not respond in time or reported an error; a write may have been applied."""
 
     def __init__(self, detail: str):
         super().__init__(
@@ -148,11 +148,11 @@
 
 
 class StaleEraError(StoreUnavailableError):
-    """The store was restored from a copy: the request or the response is of an earlier era."""
+    """The store was restored from a backup: the request or the response is of an earlier era."""
 
 
 class HistoryLostError(StoreError):
-    """The store no longer holds the writes that a watch asked for."""
+    """The store no longer holds the writes that a watch requested."""
 
     def __init__(self, kind: str, since: int):
         super().__init__(
@@ -162,7 +162,7 @@
 
 
 class ChangesTooLargeError(StoreError):
-    """The writes that a watch asked for exceed its size limit."""
+    """The writes that a watch requested exceed its size limit."""
 
     def __init__(self, kind: str, since: int):
         super().__init__(
--- a/src/guavacleat/store/watch.py
+++ b/src/guavacleat/store/watch.py
@@ -3,7 +3,7 @@
 If a watch fails (outage, timeout, lost response), the loop backs off and watches again from the
 last revision that it received, so that no change is skipped. If the store no longer holds the
 changes since then, the loop lists the objects again. Callers may receive older versions than they
-hold and must ignore them (see config.watch).
+hold and must ignore them.
 """
 
 import random
@@ -24,11 +24,11 @@
 __all__ = ["RECOVERY_WAIT_SECONDS", "WatchLoop"]
 
 BACKOFF_MIN_SECONDS = 0.2
-# Wait of a watch after a failure: short, so that a call which the store never answers times out
-# soon after the store has recovered.
+# Wait of a watch after a failure: short, so that a call that gets no response times out soon after
+# the store has recovered.
 RECOVERY_WAIT_SECONDS = 0.3
 BACKOFF_MAX_SECONDS = 5.0
-# Each watch waits for a random fraction, between this and 1, of its wait. A change answers the
+# Each watch waits for a random fraction, between this and 1, of its wait. A change completes the
 # watches of all gateways at once; without jitter they would all detect an outage equally late.
 MIN_WAIT_FRACTION = 0.6
 # Interval at which a suspended loop checks whether it may resume.
@@ -41,8 +41,8 @@
 class WatchLoop:
     """Calls ``on_object(StoredObject)`` for every object of ``kind`` and every later change.
 
-    ``on_health(bool)`` is called after every attempt with whether the store answered. The loop
-    waits ``pause()`` seconds between a response and the next watch, which limits the number of
+    ``on_health(bool)`` is called with True after a successful call, False after a failed one. The
+    loop waits ``pause()`` seconds between a response and the next watch, which limits the number of
     reads if a kind is written often. ``on_listed(names)`` is called with the names of each complete
     listing, so that objects whose deletion was missed can be dropped. With ``newest_only``
     intermediate versions may be skipped. ``on_revision(revision)`` is called after each response
